--- a/deploy/sites/make.py
+++ b/deploy/sites/make.py
@@ -32,13 +32,17 @@
         names = [entry.get("name") if isinstance(entry, dict) else None for entry in site]
         if unknown := [name for name in overlay if name not in names]:
             raise OverlayError(f"{at}.{unknown[0]}: the site has no entry of this name")
-        return [overlaid(entry, overlay[name], f"{at}.{name}") if name in overlay else entry
-                for name, entry in zip(names, site, strict=True)]
+        return [
+            overlaid(entry, overlay[name], f"{at}.{name}") if name in overlay else entry
+            for name, entry in zip(names, site, strict=True)
+        ]
     if isinstance(site, dict) and isinstance(overlay, dict):
         if unknown := [name for name in overlay if name not in site]:
             raise OverlayError(f"{at}.{unknown[0]}".lstrip(".") + ": the site has no such field")
-        return {name: overlaid(value, overlay[name], f"{at}.{name}".lstrip(".")) if name in overlay else value
-                for name, value in site.items()}
+        return {
+            name: overlaid(value, overlay[name], f"{at}.{name}".lstrip(".")) if name in overlay else value
+            for name, value in site.items()
+        }
     if isinstance(site, dict | list) is not isinstance(overlay, dict | list):
         raise OverlayError(f"{at}: not of the kind that the site has there")
     return overlay
--- a/otterquay/agent/attempts.py
+++ b/otterquay/agent/attempts.py
@@ -26,7 +26,11 @@
 def _same(entry: news.Entry, now: news.Entry | None) -> bool:
     """Whether an entry names the process that it named before, in the same state."""
     return now is not None and (now.address, now.incarnation, now.build, now.state) == (
-        entry.address, entry.incarnation, entry.build, entry.state)
+        entry.address,
+        entry.incarnation,
+        entry.build,
+        entry.state,
+    )
 
 
 class Attempts(Lifecycle):
@@ -60,8 +64,11 @@
         def begin() -> bytes | None:
             """What is written, with the time that is left by then; None where what was decided holds no more."""
             waited = attempt in held.calls  # for a connection; else this is still the turn of the decision
-            if waited and (client.left() or self._allowed(build) < allowed
-                           or not _same(entry, self.ports.list.entries.get(server))):
+            if waited and (
+                client.left()
+                or self._allowed(build) < allowed
+                or not _same(entry, self.ports.list.entries.get(server))
+            ):
                 self.log.info("attempt_withheld", request=request, attempt=attempt, server=server)
                 return None
             self.counts["attempts"] += 1
@@ -69,8 +76,13 @@
 
         def done(call: Call, end: End, answer: Any | None) -> None:
             if self.ports.fleet:
-                self.ports.fleet.ran(entry, held.ask.cls, TABLE[end].status, (self._now() - call.started) * 1e3,
-                                     self.ports.desk.capped(build))
+                self.ports.fleet.ran(
+                    entry,
+                    held.ask.cls,
+                    TABLE[end].status,
+                    (self._now() - call.started) * 1e3,
+                    self.ports.desk.capped(build),
+                )
             self._done(held, server, build, attempt, call, end, answer)
 
         if self.ports.fleet:
@@ -82,14 +94,22 @@
         self.log.debug("attempt", request=request, attempt=attempt, server=server, tag=tag)
 
     def _done(
-        self, held: Held, server: int, build: int, attempt: int, call: Call, end: End, answer: Any | None,
+        self,
+        held: Held,
+        server: int,
+        build: int,
+        attempt: int,
+        call: Call,
+        end: End,
+        answer: Any | None,
     ) -> None:
         held.calls.pop(attempt, None)
         held.last = end
         meaning = TABLE[end]
         if meaning.status is not it.Status.OK:
-            self.log.info("attempt_ended", request=held.number, attempt=attempt, server=server,
-                          end=end.name.lower())
+            self.log.info(
+                "attempt_ended", request=held.number, attempt=attempt, server=server, end=end.name.lower()
+            )
         load = self.ports.speech.load(answer) if answer and self.settings.reports_in_answers else ()
         latency = (self._now() - call.started) * 1e3
         client = held.client
--- a/otterquay/agent/back.py
+++ b/otterquay/agent/back.py
@@ -37,7 +37,11 @@
     _sweeper: asyncio.TimerHandle | None = None
 
     def call(
-        self, address: str, tag: bytes, begin: Begin, until: float,
+        self,
+        address: str,
+        tag: bytes,
+        begin: Begin,
+        until: float,
         done: Callable[[Call, End, Any | None], None],
     ) -> Call:
         """Start an exchange that is given up at `until`; `done` never runs before this returns, and `begin` runs at
@@ -198,16 +202,22 @@
             idle_s = None if connection.call else asyncio.get_running_loop().time() - connection.idle_since
             if idle_s and self.rest_s:  # nothing but the rest tells a second answer from the next one's
                 self.rest_s = max(self.rest_s, min(REST_TIMES * idle_s, REST_MOST_S))
-            self.log.warning("garbage_from_appliance", address=connection.address, error=error.reason,
-                             idle_s=idle_s)
+            self.log.warning(
+                "garbage_from_appliance", address=connection.address, error=error.reason, idle_s=idle_s
+            )
             if connection.call:
                 self._end(connection.call, End.GARBAGE)
         except (OSError, RuntimeError):
             pass  # a reset (uvloop may call it the latter): what it means for a call that is out is told below
         finally:
             if call := connection.call:
-                self.log.info("closed_under_request", address=call.address, unsent=unsent, rested_s=call.rested,
-                              after_s=asyncio.get_running_loop().time() - call.written)
+                self.log.info(
+                    "closed_under_request",
+                    address=call.address,
+                    unsent=unsent,
+                    rested_s=call.rested,
+                    after_s=asyncio.get_running_loop().time() - call.written,
+                )
                 self._end(call, End.CLOSED_UNSENT if unsent else End.CLOSED)
             self._close(connection)
 
--- a/otterquay/agent/feeds.py
+++ b/otterquay/agent/feeds.py
@@ -18,7 +18,9 @@
 
 STATES = {"ready": it.ServerState.READY, "draining": it.ServerState.DRAINING, "gone": it.ServerState.GONE}
 PHASES = {
-    "trial": it.Phase.TRIAL, "going_back": it.Phase.GOING_BACK, "released": it.Phase.RELEASED,
+    "trial": it.Phase.TRIAL,
+    "going_back": it.Phase.GOING_BACK,
+    "released": it.Phase.RELEASED,
     "withdrawn": it.Phase.WITHDRAWN,
 }
 
@@ -124,13 +126,24 @@
                 self._left(entry.server)
             else:
                 self.entries[entry.server] = entry
-            told.append(it.ServerEntry(
-                entry.server, self._zones[entry.zone], entry.kind, entry.cell, STATES[entry.state],
-                entry.weight, start, entry.build,
-            ))
+            told.append(
+                it.ServerEntry(
+                    entry.server,
+                    self._zones[entry.zone],
+                    entry.kind,
+                    entry.cell,
+                    STATES[entry.state],
+                    entry.weight,
+                    start,
+                    entry.build,
+                )
+            )
         now = self.entries
-        self.ended = [old.address for server, old in before.items() if server not in now or (
-            now[server].address, now[server].incarnation) != (old.address, old.incarnation)]
+        self.ended = [
+            old.address
+            for server, old in before.items()
+            if server not in now or (now[server].address, now[server].incarnation) != (old.address, old.incarnation)
+        ]
         return it.ServerList(kind, fleet.version, tuple(told))
 
     def log_refused(self, unread: Sequence[str], log: Logger) -> None:
--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -76,15 +76,21 @@
 
 def plain(status: int, text: str, keep_alive: bool, *extra: tuple[bytes, bytes]) -> bytes:
     """An answer of ours with one line of text."""
-    return write_response(status, [(b"content-type", b"text/plain; charset=utf-8"), *extra],
-                          text.encode() + b"\n", keep_alive)
+    return write_response(
+        status, [(b"content-type", b"text/plain; charset=utf-8"), *extra], text.encode() + b"\n", keep_alive
+    )
 
 
 def refusal(text: str, keep_alive: bool, retry_after_ms: float = 1000.0) -> bytes:
     """503: not taken, and repeating is harmless (RFC 9110 section 10.2.3 counts in whole seconds)."""
-    return plain(503, text, keep_alive, (ANSWER, b"refused"),
-                 (b"retry-after", b"%d" % math.ceil(retry_after_ms / 1e3)),
-                 (RETRY_AFTER, b"%d" % retry_after_ms))
+    return plain(
+        503,
+        text,
+        keep_alive,
+        (ANSWER, b"refused"),
+        (b"retry-after", b"%d" % math.ceil(retry_after_ms / 1e3)),
+        (RETRY_AFTER, b"%d" % retry_after_ms),
+    )
 
 
 @dataclass(slots=True, eq=False)
@@ -109,8 +115,9 @@
         status, headers = answer.status, answer.headers
         if answer.kind == "failed":
             status, headers = 504 if answer.overdue else 502, PLAIN
-        self.answer(write_response(status, [(ANSWER, answer.kind.encode()), *headers], answer.body,
-                                   self.keep_alive))
+        self.answer(
+            write_response(status, [(ANSWER, answer.kind.encode()), *headers], answer.body, self.keep_alive)
+        )
 
     def attempt(self, count: int) -> None:
         """HTTP has no word for it that all clients bear."""
--- a/otterquay/agent/keeper.py
+++ b/otterquay/agent/keeper.py
@@ -62,8 +62,9 @@
             if stage := self._store.get(STAGE, b""):
                 self._build = int(stage)
                 if self._build > 0:
-                    events.append(it.StageNews(self._build - 1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0,
-                                               float("inf")))
+                    events.append(
+                        it.StageNews(self._build - 1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf"))
+                    )
             shift = now_ms - self._store.now()
             attempts = list[tuple[int, int, float]]()
             for key, value in self._store.scan(TRIED):
@@ -81,8 +82,11 @@
     def list(self, held: Mapping[int, news.Entry]) -> None:
         """The list as it is held now; what has changed since it was last told is written."""
         changes: list[Change] = [Delete(LIST, server.to_bytes(8)) for server in self._listed if server not in held]
-        changes += [Put(LIST, server.to_bytes(8), msgspec.json.encode(entry)) for server, entry in held.items()
-                    if self._listed.get(server) != entry]
+        changes += [
+            Put(LIST, server.to_bytes(8), msgspec.json.encode(entry))
+            for server, entry in held.items()
+            if self._listed.get(server) != entry
+        ]
         self._listed = dict(held)
         if changes:
             self._store.submit(changes)
@@ -140,5 +144,15 @@
         """A vote is cast."""
         self._votes += 1
         key = self._store.now().to_bytes(8) + self._votes.to_bytes(4)
-        self._store.submit([Put(VOTES, key, msgspec.json.encode(
-            {"build": vote.build, "stage": vote.stage, "verdict": vote.verdict.name.lower()}), VOTES_KEPT_S)])
+        self._store.submit(
+            [
+                Put(
+                    VOTES,
+                    key,
+                    msgspec.json.encode(
+                        {"build": vote.build, "stage": vote.stage, "verdict": vote.verdict.name.lower()}
+                    ),
+                    VOTES_KEPT_S,
+                )
+            ]
+        )
--- a/otterquay/agent/outcomes.py
+++ b/otterquay/agent/outcomes.py
@@ -48,8 +48,12 @@
     End.GARBAGE: Meaning(Status.ERROR, False, "the request was read by something; what it did is unknown"),
     End.MISMATCH: Meaning(Status.RESET, False, "the connection is out of step; our request was written on it"),
     End.NO_CONNECTION: Meaning(Status.CONNECT_FAILED, True, "no byte of the request left"),
-    End.CLOSED: Meaning(Status.RESET, False, "a stale keep-alive connection looks the same as one whose "
-                                             "appliance read the request and died: nothing is proved"),
+    End.CLOSED: Meaning(
+        Status.RESET,
+        False,
+        "a stale keep-alive connection looks the same as one whose "
+        "appliance read the request and died: nothing is proved",
+    ),
     End.CLOSED_UNSENT: Meaning(Status.CONNECT_FAILED, True, "an appliance begins only what it has whole"),
     End.OVERDUE: Meaning(Status.TIMEOUT, False, "it may have run or may still run"),
     End.OVERDUE_CONNECTING: Meaning(Status.CONNECT_FAILED, True, "the request did not leave whole"),
--- a/otterquay/agent/peers.py
+++ b/otterquay/agent/peers.py
@@ -24,9 +24,7 @@
     async def start(self) -> None:
         """Bind our own address. OSError when it cannot be had."""
         loop = asyncio.get_running_loop()
-        self._transport, _ = await loop.create_datagram_endpoint(
-            lambda: self, local_addr=self._addresses[self._me]
-        )
+        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self._addresses[self._me])
 
     def close(self) -> None:
         """Close the socket."""
--- a/otterquay/agent/reconnect.py
+++ b/otterquay/agent/reconnect.py
@@ -42,5 +42,5 @@
             failures = 0 if self.came() else failures + 1
             if self.broken(reason, failures):
                 return
-            most = min(self.most_s, self.least_s * 2**min(failures, 16))
+            most = min(self.most_s, self.least_s * 2 ** min(failures, 16))
             await asyncio.sleep(self.rng.uniform(self.least_s, max(most, self.least_s)))
--- a/otterquay/agent/runtime.py
+++ b/otterquay/agent/runtime.py
@@ -61,8 +61,11 @@
     # --- events and actions ---
     def post(self, event: it.Event) -> None:
         """Queue an event; the queue is worked off in order, also when an action brings a further event."""
-        if isinstance(event, it.StageNews) and event.status is it.Status.OK and (
-                self.newest is None or event.build >= self.newest.build):
+        if (
+            isinstance(event, it.StageNews)
+            and event.status is it.Status.OK
+            and (self.newest is None or event.build >= self.newest.build)
+        ):
             self.newest = event
         self._queue.append(event)
         if self._feeding:
@@ -118,8 +121,12 @@
                     self.ports.peers.tell(to, data)
             case it.CastVote():
                 if self._next_vote:
-                    self.log.info("vote_overtaken", build=self._next_vote.build, stage=self._next_vote.stage,
-                                  verdict=self._next_vote.verdict.name)
+                    self.log.info(
+                        "vote_overtaken",
+                        build=self._next_vote.build,
+                        stage=self._next_vote.stage,
+                        verdict=self._next_vote.verdict.name,
+                    )
                 self._next_vote = action
                 if self.ports.keeper:
                     self.ports.keeper.voted(action)
@@ -171,8 +178,19 @@
         self.counts["taken"] += 1
         key = key_of(ask.key) if ask.key else 0
         effect = self.settings.classes[ask.cls].effect
-        self.post(it.Request(number, ask.cls, ask.tenant, key, ask.budget_ms, ask.work_ms or 0.0,
-                             ask.work_ms is not None, ask.retry, effect is not it.Effect.SAFE))
+        self.post(
+            it.Request(
+                number,
+                ask.cls,
+                ask.tenant,
+                key,
+                ask.budget_ms,
+                ask.work_ms or 0.0,
+                ask.work_ms is not None,
+                ask.retry,
+                effect is not it.Effect.SAFE,
+            )
+        )
         return True
 
     def abandon(self, number: int) -> None:
--- a/otterquay/agent/streams.py
+++ b/otterquay/agent/streams.py
@@ -38,8 +38,15 @@
     async def run(self) -> None:
         """Follow until cancelled; waits longer after each failure in a row, at random below the bound."""
         await Reconnect(
-            self._once, lambda: self._came, self._broken, self.log.bind(url=self.url), "feed_fault",
-            self.rng, self.least_s, self.most_s, (*BREAKS, SseError),
+            self._once,
+            lambda: self._came,
+            self._broken,
+            self.log.bind(url=self.url),
+            "feed_fault",
+            self.rng,
+            self.least_s,
+            self.most_s,
+            (*BREAKS, SseError),
         ).run()
 
     async def _once(self) -> str:
--- a/otterquay/agent/web.py
+++ b/otterquay/agent/web.py
@@ -35,7 +35,10 @@
 SKIPPED = HOP_BY_HOP | {BUDGET, ECHO, AGENT}
 UNANSWERED_SKIPPED = HOP_BY_HOP | {ECHO, ANSWER, orca.HEADER}
 VERDICTS = {
-    it.Verdict.NONE: "none", it.Verdict.ON: "on", it.Verdict.HOLD: "hold", it.Verdict.BACK: "back",
+    it.Verdict.NONE: "none",
+    it.Verdict.ON: "on",
+    it.Verdict.HOLD: "hold",
+    it.Verdict.BACK: "back",
 }
 
 
@@ -92,8 +95,17 @@
         self.book, self._runtime, self._log = FleetBook(service.zones), runtime, log
         feeds = service.feeds
         self._stream = Stream(
-            feeds.fleet.rstrip("/") + "/v1/fleet", service.agent.number, self._event, self._broken, rng, log,
-            feeds.reconnect_least / 1e3, feeds.reconnect_most / 1e3, feeds.silence / 1e3, feeds.max_event)
+            feeds.fleet.rstrip("/") + "/v1/fleet",
+            service.agent.number,
+            self._event,
+            self._broken,
+            rng,
+            log,
+            feeds.reconnect_least / 1e3,
+            feeds.reconnect_most / 1e3,
+            feeds.silence / 1e3,
+            feeds.max_event,
+        )
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -136,8 +148,17 @@
         self._agent, self._runtime, self._log = service.agent.number, runtime, log
         feeds = service.feeds
         self._stream = Stream(
-            feeds.desk.rstrip("/") + "/v1/stage", service.agent.number, self._event, lambda _: None, rng, log,
-            feeds.reconnect_least / 1e3, feeds.reconnect_most / 1e3, feeds.silence / 1e3, feeds.max_event)
+            feeds.desk.rstrip("/") + "/v1/stage",
+            service.agent.number,
+            self._event,
+            lambda _: None,
+            rng,
+            log,
+            feeds.reconnect_least / 1e3,
+            feeds.reconnect_most / 1e3,
+            feeds.silence / 1e3,
+            feeds.max_event,
+        )
         self._task: asyncio.Task[None] | None = None
         self.capped, self.standing = self.book.capped, self.book.standing
 
@@ -159,8 +180,7 @@
     def vote(self, vote: it.CastVote, done: Callable[[it.StageNews], None]) -> None:
         """Post a vote; `done` gets the module's event for its end."""
         loop = asyncio.get_running_loop()
-        body = msgspec.json.encode(news.Vote(self._agent, vote.build, vote.stage,
-                                             VERDICTS[vote.verdict]))  # type: ignore[arg-type]
+        body = msgspec.json.encode(news.Vote(self._agent, vote.build, vote.stage, VERDICTS[vote.verdict]))  # type: ignore[arg-type]
         address = self._stream.url.split("/")[2]
         headers = [(b"host", address.encode()), (b"content-type", b"application/json")]
         payload = write_request(b"POST", b"/v1/votes", headers, body)
@@ -215,13 +235,13 @@
         if limits.peers and service.peers and peer_key:
             link = PeerLink(service.agent.number, service.agent.count, peer_key, rng)
             addresses = {int(n): a for n, a in service.peers.address.items()}
-            peers = PeerSocket(service.agent.number, link, addresses,
-                               lambda n, d: self.post(it.PeerMessage(n, d)), log)
+            peers = PeerSocket(
+                service.agent.number, link, addresses, lambda n, d: self.post(it.PeerMessage(n, d)), log
+            )
         self.gateway: Gateway | None = None
         if service.chat and chat_key:
             self.gateway = Gateway(service, chat_key, rng, log, self.take, self.report, store)
-        self.ports = Ports(self.front, listed, desk, speech, self._recalled, peers, self._keeper,
-                           words=self._words)
+        self.ports = Ports(self.front, listed, desk, speech, self._recalled, peers, self._keeper, words=self._words)
 
     def _words(self, text: str) -> None:
         if self.gateway:
--- a/otterquay/benchlink/settings.py
+++ b/otterquay/benchlink/settings.py
@@ -13,8 +13,12 @@
 _SWAP = {"parallel": it.Replacement.BESIDE, "replace": it.Replacement.IN_PLACE}
 _DISCOVERY = {"automatic": it.Discovery.PUSH, "subscribe": it.Discovery.ASK}
 _FIELD = {
-    "busy_reqs": it.LoadField.INFLIGHT, "pending": it.LoadField.QUEUE, "cpu_share": it.LoadField.UTIL,
-    "svc_ms": it.LoadField.LATENCY_MS, "served_ps": it.LoadField.QPS, "failed_ps": it.LoadField.EPS,
+    "busy_reqs": it.LoadField.INFLIGHT,
+    "pending": it.LoadField.QUEUE,
+    "cpu_share": it.LoadField.UTIL,
+    "svc_ms": it.LoadField.LATENCY_MS,
+    "served_ps": it.LoadField.QPS,
+    "failed_ps": it.LoadField.EPS,
 }
 Json = dict[str, Any]
 
--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -155,8 +155,9 @@
         self._take, self._ask = take, ask
         tenants = tuple(service.tenant)
         self._life = rng.getrandbits(63)
-        self.hub = hb.Hub(service.chat, tenants, service.agent.number, self._life, key, rng,
-                          keeps=store is not None)
+        self.hub = hb.Hub(
+            service.chat, tenants, service.agent.number, self._life, key, rng, keeps=store is not None
+        )
         self._ledger = Ledger(store, log) if store else None
         self._tenants = {name: i for i, name in enumerate(tenants)}
         self._classes = {name: i for i, name in enumerate(service.class_)}
@@ -166,8 +167,9 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._conns = 0
         # who waits longer than a session is kept comes too late for it
-        self._pace = Pace(service.chat.handshake_rate, service.chat.handshake_burst,
-                          service.chat.resume_within / 1e3)
+        self._pace = Pace(
+            service.chat.handshake_rate, service.chat.handshake_burst, service.chat.resume_within / 1e3
+        )
         self._server: asyncio.Server | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._stopping = False
@@ -240,8 +242,11 @@
     def _submit(self, submit: hb.Submit) -> None:
         cls = self._classes[submit.cls]
         effect = self._service.class_[submit.cls].effect
-        headers = {b"content-type": b"application/json", b"x-request-id": submit.key.encode(),
-                   b"otterquay-class": submit.cls.encode()}
+        headers = {
+            b"content-type": b"application/json",
+            b"x-request-id": submit.key.encode(),
+            b"otterquay-class": submit.cls.encode(),
+        }
         key = submit.key.encode() if effect == "keyed" else b""
         if key:
             headers[b"idempotency-key"] = key
@@ -254,7 +259,8 @@
     # --- sockets ---
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         protocol = ServerProtocol(
-            subprotocols=[Subprotocol(ms.SUBPROTOCOL)], max_size=self._settings.max_message,
+            subprotocols=[Subprotocol(ms.SUBPROTOCOL)],
+            max_size=self._settings.max_message,
             extensions=[ServerPerMessageDeflateFactory(server_max_window_bits=12, client_max_window_bits=12)],
         )
         wire = Wire(reader, writer, protocol, asyncio.get_running_loop().time())
@@ -315,8 +321,7 @@
             wire.flush()
             if wire.protocol.state is State.CLOSED:
                 if wire.protocol.close_exc and wire.protocol.close_code not in (None, 1000, 1001, 1005, 1006):
-                    self._log.info("chat_closed", code=wire.protocol.close_code,
-                                   reason=wire.protocol.close_reason)
+                    self._log.info("chat_closed", code=wire.protocol.close_code, reason=wire.protocol.close_reason)
                 return
             if not await wire.receive():
                 return
@@ -384,8 +389,9 @@
 
 async def dial(address: str, max_message: int = 1 << 20) -> Wire:
     """An open WebSocket to a gateway; OSError when there is none to be had."""
-    protocol = ClientProtocol(parse_uri(f"ws://{address}/"), subprotocols=[Subprotocol(ms.SUBPROTOCOL)],
-                              max_size=max_message)
+    protocol = ClientProtocol(
+        parse_uri(f"ws://{address}/"), subprotocols=[Subprotocol(ms.SUBPROTOCOL)], max_size=max_message
+    )
     reader, writer = await asyncio.open_connection(*split_address(address))
     wire = Wire(reader, writer, protocol)
     protocol.send_request(protocol.connect())
--- a/otterquay/chat/hub.py
+++ b/otterquay/chat/hub.py
@@ -249,11 +249,16 @@
     """
 
     def __init__(
-        self, settings: Chat, tenants: tuple[str, ...], me: int, life: int, key: bytes, rng: random.Random,
+        self,
+        settings: Chat,
+        tenants: tuple[str, ...],
+        me: int,
+        life: int,
+        key: bytes,
+        rng: random.Random,
         keeps: bool = False,
     ) -> None:
-        self._s, self._tenants, self._me, self._life, self._key, self._rng = (
-            settings, tenants, me, life, key, rng)
+        self._s, self._tenants, self._me, self._life, self._key, self._rng = (settings, tenants, me, life, key, rng)
         self._lines: dict[int, _Line] = {}
         self._sessions: dict[int, Session] = {}
         self._refs: dict[int, tuple[Session, Entry]] = {}
@@ -270,8 +275,9 @@
         self._life = recalled.life
         for id, (kept, entries) in recalled.sessions.items():
             bucket = Bucket(self._s.session_rate, self._s.session_burst, self._s.session_burst, now)
-            session = self._sessions[id] = Session(id, kept.tenant, kept.name, kept.role, None, bucket,
-                                                   list(kept.secrets), now, restored=True)
+            session = self._sessions[id] = Session(
+                id, kept.tenant, kept.name, kept.role, None, bucket, list(kept.secrets), now, restored=True
+            )
             for name, entry in entries.items():
                 if entry.retired:
                     session.retired[name] = None
@@ -402,7 +408,8 @@
 
     def _hello(self, conn: int, line: _Line, hello: ms.Hello) -> None:
         proved = bool(hello.proof) and proves(
-            self._key, hello.proof, line.nonce, hello.role, hello.tenant, hello.name)
+            self._key, hello.proof, line.nonce, hello.role, hello.tenant, hello.name
+        )
         if not proved and (hello.role != "player" or not self._s.anonymous or hello.proof):
             self._say(conn, ms.Problem("bad_proof", "the proof does not fit this connection"))
             return self._shut(conn, ms.BAD_HELLO, "bad proof")
@@ -425,10 +432,12 @@
     def _attach(self, conn: int, line: _Line, session: Session, resumed: bool) -> None:
         line.session, session.conn, line.secret = session, conn, self._rng.getrandbits(63) + 1
         # welcomes may be lost, and two returns at once may cross: which one the client has is not yet known
-        session.secrets = [*session.secrets[:1], *session.secrets[1:][2 - UNSHOWN:], line.secret]
+        session.secrets = [*session.secrets[:1], *session.secrets[1:][2 - UNSHOWN :], line.secret]
         self._save(session)
-        token = seal(self._key, Resume(self._me, self._life, session.id, line.secret, session.tenant,
-                                       session.name, session.role))
+        token = seal(
+            self._key,
+            Resume(self._me, self._life, session.id, line.secret, session.tenant, session.name, session.role),
+        )
         self._say(conn, ms.Welcome(token, resumed, int(self._s.resume_within), self._s.max_open))
 
     # --- coming back ---
@@ -509,7 +518,8 @@
         if len(session.entries) >= self._s.max_kept and not self._make_room(session):
             return self._say(conn, ms.Problem("unacknowledged", "acknowledge answers first", id))
         bucket = self._buckets.setdefault(
-            session.tenant, Bucket(self._s.tenant_rate, self._s.tenant_burst, self._s.tenant_burst, self._now))
+            session.tenant, Bucket(self._s.tenant_rate, self._s.tenant_burst, self._s.tenant_burst, self._now)
+        )
         if not bucket.take(self._now):
             return self._say(conn, ms.Problem("rate_tenant", "too many commands of this tenant", id))
         self._last_ref += 1
@@ -518,8 +528,9 @@
         self._save(session, entry)
         self.counts["accepted"] += 1
         self._say(conn, ms.Accepted(id))
-        body = msgspec.json.encode({"command": typed.name, "words": typed.words,
-                                    "options": dict(typed.options), "player": session.name})
+        body = msgspec.json.encode(
+            {"command": typed.name, "words": typed.words, "options": dict(typed.options), "player": session.name}
+        )
         key = f"{self._life:x}.{session.id:x}.{id}"
         self._out.append(Submit(self._last_ref, command.class_, session.tenant, key, command.target, body))
 
--- a/otterquay/chat/ledger.py
+++ b/otterquay/chat/ledger.py
@@ -52,7 +52,11 @@
             case None if action.id:
                 changes = [Delete(ENTRIES, at + action.id.encode())]
             case None:
-                changes = [Delete(SESSIONS, at), *(Delete(ENTRIES, key) for key, _ in self._store.scan(
-                    ENTRIES, at, (action.session + 1).to_bytes(8)))]
+                changes = [
+                    Delete(SESSIONS, at),
+                    *(
+                        Delete(ENTRIES, key)
+                        for key, _ in self._store.scan(ENTRIES, at, (action.session + 1).to_bytes(8))
+                    ),
+                ]
         self._store.submit(changes)
-
--- a/otterquay/cli/cluster.py
+++ b/otterquay/cli/cluster.py
@@ -27,7 +27,12 @@
 @click.option("--settings", type=FILE, help="The agents' settings, in place of agent.hcl beside the day.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def cluster(
-    day: Path, seed: int, processes: int | None, out: Path | None, settings: Path | None, as_json: bool,
+    day: Path,
+    seed: int,
+    processes: int | None,
+    out: Path | None,
+    settings: Path | None,
+    as_json: bool,
 ) -> None:
     """Play a cluster DAY; exit 1 when anything happened that must not, or the fleet did not come to rest."""
     try:
@@ -37,14 +42,22 @@
         sys.exit(2)
     if processes:
         share = max(processes // len(plan.site), 1)
-        sites = {name: site.model_copy(update={"agents": max(share, site.members)})
-                 for name, site in plan.site.items()}
+        sites = {
+            name: site.model_copy(update={"agents": max(share, site.members)}) for name, site in plan.site.items()
+        }
         plan = plan.model_copy(update={"site": sites})
     console = Console(stderr=True, quiet=as_json)
 
     async def to_its_end(folder: Path) -> Result:
-        whole = asyncio.ensure_future(play(plan, settings or day.parent / "agent.hcl", seed, folder,
-                                           lambda text: console.print(text, highlight=False)))
+        whole = asyncio.ensure_future(
+            play(
+                plan,
+                settings or day.parent / "agent.hcl",
+                seed,
+                folder,
+                lambda text: console.print(text, highlight=False),
+            )
+        )
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, whole.cancel)  # ends its agents first
         return await whole
 
@@ -56,8 +69,9 @@
         except (FileExistsError, ConfigError) as error:
             raise click.ClickException(str(error)) from None
     if as_json:
-        click.echo(json.dumps({**result.counts, "rested": result.rested, "figures": result.figures,
-                               "notes": result.notes}))
+        click.echo(
+            json.dumps({**result.counts, "rested": result.rested, "figures": result.figures, "notes": result.notes})
+        )
     else:
         for name, count in {**result.counts, **result.figures}.items():
             click.echo(f"{name.replace('_', ' '):22} {count}")
--- a/otterquay/cli/lab.py
+++ b/otterquay/cli/lab.py
@@ -35,7 +35,6 @@
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
-
 def run_day(file: Path, seed: int, report: Path | None, one_process: bool, quiet: bool) -> Result:
     """Play a day with progress on standard error; ConfigError when it cannot be read."""
     day, service = load_day(file)
@@ -68,21 +67,32 @@
 def print_result(result: Result) -> None:
     """A summary that a newcomer understands, on standard output."""
     console, summary = Console(), result.summary()
-    console.print(f"\n[bold]{summary['operations']} operations[/bold], {summary['operations_served']} served "
-                  f"right; {summary['requests']} tries: "
-                  + ", ".join(f"{n} {kind}" for kind, n in summary["answers"].items()))
+    console.print(
+        f"\n[bold]{summary['operations']} operations[/bold], {summary['operations_served']} served "
+        f"right; {summary['requests']} tries: " + ", ".join(f"{n} {kind}" for kind, n in summary["answers"].items())
+    )
     moves = Table("at", "build", "stage", "stands", "cap", title="what became of the builds", title_justify="left")
     for m in summary["stages"]:
-        moves.add_row(f"{m['at_s']:.1f} s", str(m["build"]), str(m["stage"] + 1),
-                      m["phase"].replace("_", " "), f"{m['cap']:.0%}")
+        moves.add_row(
+            f"{m['at_s']:.1f} s",
+            str(m["build"]),
+            str(m["stage"] + 1),
+            m["phase"].replace("_", " "),
+            f"{m['cap']:.0%}",
+        )
     console.print(moves)
-    times = Table("class", *(f"p{q}" for q in ("50", "90", "99", "99.9")),
-                  title="milliseconds to the right answer, retries included", title_justify="left")
+    times = Table(
+        "class",
+        *(f"p{q}" for q in ("50", "90", "99", "99.9")),
+        title="milliseconds to the right answer, retries included",
+        title_justify="left",
+    )
     for cls, quantiles in summary["latency_ms"].items():
         times.add_row(cls, *(f"{value:.0f}" for value in quantiles.values()))
     console.print(times)
-    rules = Table("rule", "put to the test", "broken", title="the five rules, judged from the sockets",
-                  title_justify="left")
+    rules = Table(
+        "rule", "put to the test", "broken", title="the five rules, judged from the sockets", title_justify="left"
+    )
     for rule, broken in summary["violations"].items():
         rules.add_row(rule, str(summary["checked"][rule]), f"[red]{broken}[/red]" if broken else "never")
     console.print(rules)
@@ -99,8 +109,11 @@
 @lab.command("play")
 @click.argument("file", type=FILE)
 @click.option("--seed", type=int, default=1, show_default=True, help="Seed of traffic, machines and agents.")
-@click.option("--report", type=click.Path(file_okay=False, path_type=Path),
-              help="Folder for the tape, the agents' logs and the violations in words.")
+@click.option(
+    "--report",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Folder for the tape, the agents' logs and the violations in words.",
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object in place of the tables.")
 @click.option("--one-process", is_flag=True, help="Run the agents in this process.")
 def play_command(file: Path, seed: int, report: Path | None, as_json: bool, one_process: bool) -> None:
@@ -127,7 +140,13 @@
 @click.option("--one-process", is_flag=True, help="Run the agents in this process.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def chat_command(
-    people: int, seed: int, file: Path, pause: float, faults: float, seconds: float | None, one_process: bool,
+    people: int,
+    seed: int,
+    file: Path,
+    pause: float,
+    faults: float,
+    seconds: float | None,
+    one_process: bool,
     as_json: bool,
 ) -> None:
     """Play a chat night with scripted clients; exit 1 on a violation, 2 when the file is wrong."""
@@ -148,8 +167,9 @@
     found = judge(world.tape, unsafe_commands(service))
     waits = sorted(wait * 1e3 for chatter in world.chatters for wait in chatter.waits)
     if waits:
-        found["wait_ms"] = {f"p{q * 100:g}": round(waits[min(len(waits) - 1, int(q * len(waits)))], 1)
-                            for q in (0.5, 0.9, 0.99)}
+        found["wait_ms"] = {
+            f"p{q * 100:g}": round(waits[min(len(waits) - 1, int(q * len(waits)))], 1) for q in (0.5, 0.9, 0.99)
+        }
     if as_json:
         click.echo(json.dumps(found))
     else:
@@ -170,7 +190,12 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object in place of the tables.")
 def sim_command(
-    file: Path, agents: int | None, machines: int | None, rate: float | None, seconds: float | None, seed: int,
+    file: Path,
+    agents: int | None,
+    machines: int | None,
+    rate: float | None,
+    seconds: float | None,
+    seed: int,
     as_json: bool,
 ) -> None:
     """Play the day in FILE on simulated time; exit 1 when a rule was broken, 2 when the file is wrong."""
@@ -187,11 +212,18 @@
         day = day.model_copy(update={"traffic": day.traffic.model_copy(update={"rate": rate})})
     if seconds:  # nothing begins after the traffic's end or lasts beyond it
         end = seconds * 1e3
-        day = day.model_copy(update={
-            "duration": end, "build": {name: b for name, b in day.build.items() if b.at < end},
-            "fault": [f.model_copy(update={"lasts": min(f.lasts, end - f.at)}) for f in day.fault if f.at < end]})
-    service = service.model_copy(update={"agent": service.agent.model_copy(
-        update={"count": len(day.agents.zones), "number": 0})})
+        day = day.model_copy(
+            update={
+                "duration": end,
+                "build": {name: b for name, b in day.build.items() if b.at < end},
+                "fault": [
+                    f.model_copy(update={"lasts": min(f.lasts, end - f.at)}) for f in day.fault if f.at < end
+                ],
+            }
+        )
+    service = service.model_copy(
+        update={"agent": service.agent.model_copy(update={"count": len(day.agents.zones), "number": 0})}
+    )
     begin = perf_counter()
     try:
         played = play_simulated(day, service, seed)
@@ -223,8 +255,19 @@
 @click.option("--leave", type=click.FloatRange(0.0, 1.0), default=0.0, show_default=True, help="Part of clients.")
 @click.option("--seed", type=int, default=1, show_default=True)
 def mass_command(
-    file: Path, agents: int, servers: int, few: int | None, use: float, told: float, killed: float, release: bool,
-    back: float | None, bad: float, late: float, leave: float, seed: int,
+    file: Path,
+    agents: int,
+    servers: int,
+    few: int | None,
+    use: float,
+    told: float,
+    killed: float,
+    release: bool,
+    back: float | None,
+    bad: float,
+    late: float,
+    leave: float,
+    seed: int,
 ) -> None:
     """The decisions of a whole fleet with FILE's settings while a zone returns cold and, with --release, a build
     is offered; exit 1 when any of the five rules broke over the sum of all agents."""
@@ -235,13 +278,37 @@
         sys.exit(2)
     begin = perf_counter()
     plan = Release(back=None if back is None else back * 1e3, bad=bad) if release else None
-    found = play_mass(Mass(service, agents, servers, Fault(told_ms=told * 1e3, killed=killed), plan, use, few,
-                           late_ms=late * 1e3, leave=leave), seed)
-    click.echo(json.dumps({
-        "asked": found.asked, "served": found.served, "refused": found.refused, "failed": found.failed,
-        "to_cold": found.to_cold, "worst_of_limit": round(found.worst, 3), "by_told": round(found.by_told, 3),
-        "violations": {rule: len(texts) for rule, texts in found.violations.items()}, "checked": found.checked,
-        "broken": found.broken, "wall_s": round(perf_counter() - begin, 3)}))
+    found = play_mass(
+        Mass(
+            service,
+            agents,
+            servers,
+            Fault(told_ms=told * 1e3, killed=killed),
+            plan,
+            use,
+            few,
+            late_ms=late * 1e3,
+            leave=leave,
+        ),
+        seed,
+    )
+    click.echo(
+        json.dumps(
+            {
+                "asked": found.asked,
+                "served": found.served,
+                "refused": found.refused,
+                "failed": found.failed,
+                "to_cold": found.to_cold,
+                "worst_of_limit": round(found.worst, 3),
+                "by_told": round(found.by_told, 3),
+                "violations": {rule: len(texts) for rule, texts in found.violations.items()},
+                "checked": found.checked,
+                "broken": found.broken,
+                "wall_s": round(perf_counter() - begin, 3),
+            }
+        )
+    )
     for rule, texts in found.violations.items():
         for text in texts[:3]:
             click.echo(f"{rule}: {text}", err=True)
@@ -280,15 +347,24 @@
         out.mkdir(parents=True, exist_ok=True)
         smaller = search.shrink(search.draw(day, service, one.seed), service, one.seed)
         again = search.trial(smaller, service, one.seed)
-        note = "\n".join([f"Found by search, seed {one.seed}."] + [
-            f"{rule}: {text}" for rule, texts in again.broken.items() for text in texts[:2]])
+        note = "\n".join(
+            [f"Found by search, seed {one.seed}."]
+            + [f"{rule}: {text}" for rule, texts in again.broken.items() for text in texts[:2]]
+        )
         target = os.path.relpath(file.parent / day.service, out)
         (out / f"seed-{one.seed}.hcl").write_text(search.day_text(smaller, target, note))
     worst = sorted(found, key=lambda one: one.served)[:5]
     if as_json:
-        click.echo(json.dumps({
-            "days": len(found), "bad": [asdict(one) for one in bad], "least_served": [asdict(one) for one in worst],
-            "faults": dict(Counter(kind for one in found for kind in one.faults))}))
+        click.echo(
+            json.dumps(
+                {
+                    "days": len(found),
+                    "bad": [asdict(one) for one in bad],
+                    "least_served": [asdict(one) for one in worst],
+                    "faults": dict(Counter(kind for one in found for kind in one.faults)),
+                }
+            )
+        )
     else:
         click.echo(f"{len(found)} days, {len(bad)} of them broke something")
         for one in bad:
@@ -306,8 +382,10 @@
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def torture_command(seed: int, kills: int, workloads: int, as_json: bool) -> None:
     """Cut, flip, crash and kill stores; exit 1 when an acknowledged write is lost or a batch half shown."""
-    with tempfile.TemporaryDirectory(prefix="otterquay-store-") as folder, Progress(
-            console=Console(stderr=True, quiet=as_json), transient=True) as progress:
+    with (
+        tempfile.TemporaryDirectory(prefix="otterquay-store-") as folder,
+        Progress(console=Console(stderr=True, quiet=as_json), transient=True) as progress,
+    ):
         total = torture.Count()
         task = progress.add_task("cuts and flips", total=2 + workloads + kills)
         reference = torture.Reference(seed)
@@ -341,7 +419,8 @@
     """A small fleet, a bad build and a good one, in half a minute: watch agents find out which is which."""
     Console(stderr=True).print(
         "Two agents route a small fleet's traffic on loopback. Build 2 fails one class of requests; build 3 is "
-        "good.\nNobody tells the agents: they vote by what they see. Stages open a build to more of the fleet.\n")
+        "good.\nNobody tells the agents: they vote by what they see. Stages open a build to more of the fleet.\n"
+    )
     with tempfile.TemporaryDirectory(prefix="otterquay-demo-") as folder:
         result = run_day(DEMO_DAY, seed, Path(folder), one_process=False, quiet=False)
     print_result(result)
--- a/otterquay/cli/root.py
+++ b/otterquay/cli/root.py
@@ -86,30 +86,59 @@
 @click.option("--chat-listen", help="HOST:PORT for chat, in place of the file's.")
 @click.option("--chat-key", "chat_key_file", type=FILE, help="File with the chat key, 64 hex digits.")
 @click.option("--chat-agent", "chat_agents", multiple=True, metavar="N=HOST:PORT", help="Chat address of agent N.")
-@click.option("--store", "folder", type=click.Path(file_okay=False, path_type=Path),
-              help="Folder for what outlasts a restart, in place of the file's.")
+@click.option(
+    "--store",
+    "folder",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Folder for what outlasts a restart, in place of the file's.",
+)
 @click.option("--seed", type=int, help="Seed of all chance; drawn from the system when not given.")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 @click.option("--log-form", type=click.Choice(["json", "console"]), default="json")
 @click.option("--loop", type=click.Choice(["uvloop", "asyncio"]), default="uvloop", show_default=True)
 @click.option("--announce", is_flag=True, help="Print `listening HOST:PORT` on standard output once ready.")
 def agent(
-    file: Path, number: int | None, count: int | None, zone: str | None, listen: str | None,
-    fleet: str | None, desk: str | None, peers: tuple[str, ...], peer_key: Path | None, folder: Path | None,
-    chat_listen: str | None, chat_key_file: Path | None, chat_agents: tuple[str, ...],
-    seed: int | None, log_level: str, log_form: str, loop: str, announce: bool,
+    file: Path,
+    number: int | None,
+    count: int | None,
+    zone: str | None,
+    listen: str | None,
+    fleet: str | None,
+    desk: str | None,
+    peers: tuple[str, ...],
+    peer_key: Path | None,
+    folder: Path | None,
+    chat_listen: str | None,
+    chat_key_file: Path | None,
+    chat_agents: tuple[str, ...],
+    seed: int | None,
+    log_level: str,
+    log_form: str,
+    loop: str,
+    announce: bool,
 ) -> None:
     """Run an agent with the settings in FILE until SIGTERM or SIGINT; it then answers all it holds and ends."""
     address = dict(item.partition("=")[::2] for item in peers) or None
     try:
-        service = load_service(file, {
-            "agent": {"number": number, "count": count, "zone": zone, "listen": listen,
-                      "store": str(folder) if folder else None},
-            "feeds": {"fleet": fleet, "desk": desk},
-            "chat": {"listen": chat_listen, "key_file": str(chat_key_file) if chat_key_file else None,
-                     "agents": dict(item.partition("=")[::2] for item in chat_agents) or None},
-            "peers": {"address": address, "key_file": str(peer_key) if peer_key else None},
-        })
+        service = load_service(
+            file,
+            {
+                "agent": {
+                    "number": number,
+                    "count": count,
+                    "zone": zone,
+                    "listen": listen,
+                    "store": str(folder) if folder else None,
+                },
+                "feeds": {"fleet": fleet, "desk": desk},
+                "chat": {
+                    "listen": chat_listen,
+                    "key_file": str(chat_key_file) if chat_key_file else None,
+                    "agents": dict(item.partition("=")[::2] for item in chat_agents) or None,
+                },
+                "peers": {"address": address, "key_file": str(peer_key) if peer_key else None},
+            },
+        )
     except ConfigError as error:
         return _refuse(error)
     key = None
--- a/otterquay/cli/store.py
+++ b/otterquay/cli/store.py
@@ -54,6 +54,7 @@
 @click.argument("folder", type=FOLDER)
 def verify_command(folder: Path) -> None:
     """Read every record of FOLDER, beside the hints that opening goes by; exit 1 where one is damaged."""
+
     async def work() -> tuple[Store, Report]:
         opened = await _look(folder)
         return opened, verify(Disk(folder))
@@ -73,13 +74,19 @@
 @click.argument("folder", type=FOLDER)
 def stat(folder: Path) -> None:
     """Tables with their keys, segments with their sizes, as one JSON object."""
+
     async def work() -> dict[str, Any]:
         opened = await _look(folder)
-        return {"tables": opened.tables(),
-                "segments": {segment_name(n): s.size for n, s in opened.segments.items()},
-                "records": opened.sequence, "bytes": opened.total_bytes(), "bytes_alive": opened.index.live,
-                "oldest": segment_name(opened.oldest), "store_time_ms": opened.time,
-                "torn_bytes": opened.cut_bytes}
+        return {
+            "tables": opened.tables(),
+            "segments": {segment_name(n): s.size for n, s in opened.segments.items()},
+            "records": opened.sequence,
+            "bytes": opened.total_bytes(),
+            "bytes_alive": opened.index.live,
+            "oldest": segment_name(opened.oldest),
+            "store_time_ms": opened.time,
+            "torn_bytes": opened.cut_bytes,
+        }
 
     click.echo(json.dumps(_run(folder, work()), indent=1))
 
@@ -89,6 +96,7 @@
 @click.option("--table", help="This table only.")
 def dump(folder: Path, table: str | None) -> None:
     """Every key and value in order, a JSON object a line, bytes in hexadecimal; `ends_ms` is store time."""
+
     async def work() -> None:
         opened = await _look(folder)
         for name in opened.tables():
@@ -105,6 +113,7 @@
 @click.argument("folder", type=FOLDER)
 def compact(folder: Path) -> None:
     """Write what is alive anew and remove the rest. Needs the folder to itself."""
+
     async def work() -> tuple[int, int]:
         opened = await open_store(Disk(folder), configure("warning", "console"), _clock())
         before = opened.total_bytes()
@@ -122,6 +131,7 @@
 @click.argument("to", type=NEW)
 def backup_command(folder: Path, to: Path) -> None:
     """Copy FOLDER into TO, new or empty, also while an agent writes; the copy is opened and read whole."""
+
     async def work() -> tuple[int, int, int]:
         count, size = await backup(Disk(folder), Disk(to))
         copy = await open_store(Disk(to), configure("error", "console"), _clock(), look=True, hints=False)
@@ -136,6 +146,7 @@
 @click.option("--to", type=NEW, required=True, help="Folder for what is whole, new or empty.")
 def repair(folder: Path, to: Path) -> None:
     """Put what is whole of a damaged FOLDER into another one and tell what is not; FOLDER stays as it is."""
+
     async def work() -> Report:
         return await salvage(Disk(folder), Disk(to), configure("warning", "console"), _clock())
 
--- a/otterquay/config/fleet.py
+++ b/otterquay/config/fleet.py
@@ -40,8 +40,10 @@
     @model_validator(mode="after")
     def _agree(self) -> Group:
         if len(self.members) not in (1, 3, 5) or len(set(self.members)) != len(self.members):
-            raise ValueError(f"members: {self.members}: name three or five different agents (one alone for "
-                             "trials): an even number bears no more failures than one fewer")
+            raise ValueError(
+                f"members: {self.members}: name three or five different agents (one alone for "
+                "trials): an even number bears no more failures than one fewer"
+            )
         lacks = [str(m) for m in self.members if str(m) not in self.agent]
         if lacks:
             raise ValueError(f"members: no block agent for {', '.join(lacks)}")
@@ -102,12 +104,16 @@
         if 0 < self.retire < 10 * self.look:
             raise ValueError("capacity.retire: must be at least ten times look, or a lull ends servers; 0: never")
         if 0 < self.owes < 4 * self.look:
-            raise ValueError("capacity.owes: must be at least four times look, or one look that is lost relieves "
-                             "an owner; 0 switches it off")
+            raise ValueError(
+                "capacity.owes: must be at least four times look, or one look that is lost relieves "
+                "an owner; 0 switches it off"
+            )
         wanted = sum(sum(s.want.values()) for s in self.site.values())
         if wanted + self.allowance * len(zones) > self.bound:
-            raise ValueError(f"capacity: {wanted} servers wanted and allowances of {self.allowance} for "
-                             f"{len(zones)} sites are over the bound of {self.bound}: raise bound, lower allowance")
+            raise ValueError(
+                f"capacity: {wanted} servers wanted and allowances of {self.allowance} for "
+                f"{len(zones)} sites are over the bound of {self.bound}: raise bound, lower allowance"
+            )
 
 
 class Machine(Block):
--- a/otterquay/config/load.py
+++ b/otterquay/config/load.py
@@ -132,4 +132,3 @@
 def load_service(path: Path, overrides: Overrides | None = None) -> Service:
     """An agent's settings from a file, or ConfigError."""
     return load_document(Service, path, overrides)
-
--- a/otterquay/duties/commands.py
+++ b/otterquay/duties/commands.py
@@ -139,8 +139,21 @@
 
 
 Command = (
-    Join | Claim | Renew | Release | Expire | Order | Settle | Ended | Allot | Handover | Found | Publish | Cap
-    | Assign | Looked
+    Join
+    | Claim
+    | Renew
+    | Release
+    | Expire
+    | Order
+    | Settle
+    | Ended
+    | Allot
+    | Handover
+    | Found
+    | Publish
+    | Cap
+    | Assign
+    | Looked
 )
 
 
--- a/otterquay/duties/errand.py
+++ b/otterquay/duties/errand.py
@@ -89,8 +89,7 @@
         path = f"/sites/{self.site}/orders"
         if self.cancel:
             return Request("DELETE", f"{path}/{self.id}", self.token, self.id, self.etag)
-        return Request("POST", path, self.token, self.id,
-                       body=msgspec.json.encode(Wanted(self.kind, self.count)))
+        return Request("POST", path, self.token, self.id, body=msgspec.json.encode(Wanted(self.kind, self.count)))
 
     def overdue(self, now: float) -> None:
         """No answer came: it may have been done, so it is asked again under the same id."""
--- a/otterquay/duties/messages.py
+++ b/otterquay/duties/messages.py
@@ -125,6 +125,4 @@
     body: Blob
 
 
-Message = (
-    Propose | Done | Elsewhere | Status | Beat | AskBooks | Books | AskTable | Table | Rows | Asked | Relayed
-)
+Message = Propose | Done | Elsewhere | Status | Beat | AskBooks | Books | AskTable | Table | Rows | Asked | Relayed
--- a/otterquay/duties/spread/chief.py
+++ b/otterquay/duties/spread/chief.py
@@ -64,7 +64,14 @@
     by_owner: dict[int | None, list[str]] = field(default_factory=dict)
 
     def status(
-        self, now: float, agent: int, life: int, number: int, applied: int, holding: Sequence[int], state: Posts,
+        self,
+        now: float,
+        agent: int,
+        life: int,
+        number: int,
+        applied: int,
+        holding: Sequence[int],
+        state: Posts,
     ) -> list[tuple[str, Token]] | None:
         """What the agent holds from now on; None for a status that is older than one answered."""
         was = self.heard.get(agent)
@@ -109,8 +116,13 @@
         if now > self.leases.get(post.owner, self.since + self.terms.group):
             return True
         return bool(
-            heard and out and out.token == post.token and out.number is not None and heard.applied >= out.number
-            and post.token.group not in heard.holding)
+            heard
+            and out
+            and out.token == post.token
+            and out.number is not None
+            and heard.applied >= out.number
+            and post.token.group not in heard.holding
+        )
 
     def weights(self, now: float) -> dict[int, float]:
         """Agents that may hold posts; one that was behind gets half for each time, until that is long ago."""
@@ -119,9 +131,11 @@
             self.marks[agent] = [at for at in times if now - at < span]
             if not self.marks[agent]:
                 del self.marks[agent]
-        return {agent: max(0.5 ** len(self.marks.get(agent, ())), SLOWEST)
-                for agent, h in sorted(self.heard.items())
-                if now - h.at <= self.gap and now - h.since >= SETTLED_S}
+        return {
+            agent: max(0.5 ** len(self.marks.get(agent, ())), SLOWEST)
+            for agent, h in sorted(self.heard.items())
+            if now - h.at <= self.gap and now - h.since >= SETTLED_S
+        }
 
     def step(self, now: float, wanted: Sequence[str], state: Posts) -> list[Placed]:
         """Moves to be proposed now; to be called from `next_at` on."""
@@ -158,8 +172,13 @@
             elif post is not None and not self.free(now, name, post):
                 continue  # its holder is not heard, and may still hold it
             movable.append(name)
-        found = place(movable, weights, held, lambda name, agent: self.bars.get((name, agent), -1e9) > now,
-                      len(wanted) - len(movable))
+        found = place(
+            movable,
+            weights,
+            held,
+            lambda name, agent: self.bars.get((name, agent), -1e9) > now,
+            len(wanted) - len(movable),
+        )
         moves = []
         for name, agent in found.items():
             post = state.posts.get(name)
--- a/otterquay/duties/spread/looking.py
+++ b/otterquay/duties/spread/looking.py
@@ -65,6 +65,7 @@
                 brought = sum(max(o.started, 0) for o in orders)
                 alive = max(found.alive.get(kind, 0), 0)
                 self.news[post] = Report(post, token, int(version), alive, coming, brought)
+
         return listed
 
     def _tell(self, now: float, out: Out) -> None:
--- a/otterquay/duties/spread/placing.py
+++ b/otterquay/duties/spread/placing.py
@@ -29,8 +29,11 @@
 
 
 def place(
-    posts: Collection[str], weights: Mapping[int, float], held: Mapping[str, int],
-    barred: Bars = lambda post, agent: False, others: int = 0,
+    posts: Collection[str],
+    weights: Mapping[int, float],
+    held: Mapping[str, int],
+    barred: Bars = lambda post, agent: False,
+    others: int = 0,
 ) -> dict[str, int]:
     """The agent of each post, where any may take it. `held` names the present ones, `weights` those that may hold.
 
@@ -54,8 +57,9 @@
             homeless.append(post)
     for post in homeless:
         able = [agent for agent in weights if not barred(post, agent)]
-        roomy = ([a for a in able if len(loads[a]) < least[a]]
-                 or [a for a in able if len(loads[a]) < most[a]] or able)
+        roomy = (
+            [a for a in able if len(loads[a]) < least[a]] or [a for a in able if len(loads[a]) < most[a]] or able
+        )
         if roomy:
             agent = min(roomy, key=lambda a: (score(post, a, weights[a]), a))
             found[post] = agent
@@ -65,15 +69,22 @@
 
 
 def _level(
-    found: dict[str, int], loads: dict[int, list[str]], least: Mapping[int, int], weights: Mapping[int, float],
+    found: dict[str, int],
+    loads: dict[int, list[str]],
+    least: Mapping[int, int],
+    weights: Mapping[int, float],
     barred: Bars,
 ) -> None:
     """Fill each agent up to its share rounded down, from those that are furthest over theirs."""
     for agent in sorted(weights):
         while len(loads[agent]) < least[agent]:
             rich = [a for a in weights if len(loads[a]) > least[a]]
-            moves = [(least[a] - len(loads[a]), score(post, agent, weights[agent]), post, a)
-                     for a in rich for post in loads[a] if not barred(post, agent)]
+            moves = [
+                (least[a] - len(loads[a]), score(post, agent, weights[agent]), post, a)
+                for a in rich
+                for post in loads[a]
+                if not barred(post, agent)
+            ]
             if not moves:
                 break
             _, _, post, giver = min(moves)
--- a/otterquay/duties/spread/progress.py
+++ b/otterquay/duties/spread/progress.py
@@ -74,8 +74,12 @@
         return [(name, owner) for name, owner in behind if place_of(name)[0] not in closed]
 
     def sites(
-        self, now: float, state: Posts, wants: Mapping[str, Mapping[str, int]],
-        owners: Mapping[str, tuple[int, int]], room: int,
+        self,
+        now: float,
+        state: Posts,
+        wants: Mapping[str, Mapping[str, int]],
+        owners: Mapping[str, tuple[int, int]],
+        room: int,
     ) -> list[tuple[str, str]]:
         """Sites whose owner (agent and token by site) lets servers be missing that nobody sees come; and why."""
         behind = []
--- a/otterquay/duties/state.py
+++ b/otterquay/duties/state.py
@@ -100,9 +100,13 @@
         self.watch: Callable[[cm.Proposal, cm.Result], None] = lambda proposal, result: None
 
     def _fresh(self) -> Whole:
-        return Whole(self.bound, duties={CAPACITY: DutyState(), **{duty_of(s): DutyState() for s in self.sites}},
-                     sites={s: SiteState() for s in self.sites}, running={s: {} for s in self.sites},
-                     ended={s: {} for s in self.sites})
+        return Whole(
+            self.bound,
+            duties={CAPACITY: DutyState(), **{duty_of(s): DutyState() for s in self.sites}},
+            sites={s: SiteState() for s in self.sites},
+            running={s: {} for s in self.sites},
+            ended={s: {} for s in self.sites},
+        )
 
     # --- snapshots ---
     def dump(self) -> bytes:
@@ -221,9 +225,11 @@
     # --- servers ---
     def taken(self) -> int:
         """Servers that run or may still be started: orders, and what sites may still spend."""
-        return (sum(self.alive(site, kind) for site, kinds in self.whole.running.items() for kind in kinds)
-                + sum(max(o.count, 0) for o in self.whole.orders.values())
-                + sum(s.granted - s.spent for s in self.whole.sites.values()))
+        return (
+            sum(self.alive(site, kind) for site, kinds in self.whole.running.items() for kind in kinds)
+            + sum(max(o.count, 0) for o in self.whole.orders.values())
+            + sum(s.granted - s.spent for s in self.whole.sites.values())
+        )
 
     def alive(self, site: str, kind: str) -> int:
         """Servers of closed orders that still run."""
--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -26,16 +26,27 @@
     sites = {int(name): agent.zone for name, agent in group.agent.items()}
     wants = {zone: dict(capacity.site[zone].want) if zone in capacity.site else {} for zone in set(sites.values())}
     return Plan(
-        service.agent.number, tuple(group.members), sites, capacity.bound, capacity.allowance, wants,
+        service.agent.number,
+        tuple(group.members),
+        sites,
+        capacity.bound,
+        capacity.allowance,
+        wants,
         max(service.rollout.back_votes, 1),
-        machines={kind: Machine(m.family, (m.cores, m.clock_ghz, m.memory_gib))
-                  for kind, m in service.machine.items()},
+        machines={
+            kind: Machine(m.family, (m.cores, m.clock_ghz, m.memory_gib)) for kind, m in service.machine.items()
+        },
         sized={name: site.size for name, site in capacity.site.items() if site.size is not None},
-        pace=Pace(yard=capacity.look / 1e3, settle=group.settle / 1e3, owes=capacity.owes / 1e3,
-                  retire=capacity.retire / 1e3),
+        pace=Pace(
+            yard=capacity.look / 1e3,
+            settle=group.settle / 1e3,
+            owes=capacity.owes / 1e3,
+            retire=capacity.retire / 1e3,
+        ),
         terms=Terms(group.lease / 1e3, group.drift),
         group=GroupTimes(group.beat / 1e3, group.election / 1e3, group.beat * 3 / 1e3),
-        site_times=SiteTimes(lost=group.lost / 1e3, back=group.back / 1e3, lease=group.lost / 2e3))
+        site_times=SiteTimes(lost=group.lost / 1e3, back=group.back / 1e3, lease=group.lost / 2e3),
+    )
 
 
 def read_key(path: Path) -> bytes:
@@ -53,10 +64,16 @@
     assert group is not None and capacity is not None
     plan = plan_of(service)
     work = FleetWork(
-        plan, group.listen or group.agent[str(plan.me)].address,
+        plan,
+        group.listen or group.agent[str(plan.me)].address,
         {int(name): one.address for name, one in group.agent.items()},
-        group_number(group.name), read_key(Path(group.key_file)),
-        capacity.yard, store, rng, log)
+        group_number(group.name),
+        read_key(Path(group.key_file)),
+        capacity.yard,
+        store,
+        rng,
+        log,
+    )
     work.again = agent.tell_again
     agent.ports.fleet = work
     return work
--- a/otterquay/fleet/coordinating.py
+++ b/otterquay/fleet/coordinating.py
@@ -82,8 +82,11 @@
             return
         for kind, count in self.want(now, self.listed.alive).items():
             known = {o.id for o in self.listed.orders}
-            coming = sum(o.count - o.started for o in self.listed.orders
-                         if o.kind == kind and not o.cancelled and o.count > o.started)
+            coming = sum(
+                o.count - o.started
+                for o in self.listed.orders
+                if o.kind == kind and not o.cancelled and o.count > o.started
+            )
             coming += sum(e.count for e, _, _ in self.errands.values() if e.kind == kind and e.id not in known)
             coming += sum(r.act.count for r in self.site.reserves if r.act.kind == kind)
             missing = count - self.listed.alive.get(kind, 0) - coming
@@ -102,6 +105,7 @@
             if errand.final:
                 self.changed_at = now
                 self.errands.pop(errand.id, None)
+
         return answered
 
 
@@ -135,5 +139,3 @@
                 self.site.journal.drop(token, o)
 
         self.busy = self.propose(now, cm.Handover(self.name, token, piece, not rest), taken, out)
-
-
--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -66,8 +66,12 @@
             self.relieved.clear()
             self.chief = None
         if self.chief is None and self.plan.pace.owes and self.member.led_at:
-            self.chief = Chief(self.plan.terms, 4 * self.plan.pace.status,
-                               self.member.led_at + 2 * self.plan.group.election, Progress(self.plan.pace.owes))
+            self.chief = Chief(
+                self.plan.terms,
+                4 * self.plan.pace.status,
+                self.member.led_at + 2 * self.plan.group.election,
+                Progress(self.plan.pace.owes),
+            )
         return bool(self.member.led_at) and self.member.confirmed(now)
 
     # --- proposals ---
@@ -152,23 +156,45 @@
         state = whole.sites[site]
         agents = self.plan.agents_of(site)
         spent = sorted((s.status.spent if (s := self.seen.get(a)) else 0 for a in agents), reverse=True)
-        beat = dm.SiteBeat(whole.duties[duty_of(site)].token, state.granted, state.floor, list(state.closed),
-                           self._open(site)[-64:], spent[len(agents) // 2], state.spent)
+        beat = dm.SiteBeat(
+            whole.duties[duty_of(site)].token,
+            state.granted,
+            state.floor,
+            list(state.closed),
+            self._open(site)[-64:],
+            spent[len(agents) // 2],
+            state.spent,
+        )
         posts = None
         if self.chief is not None and not m.number:
             self.chief.gone(sender)
         elif self.chief is not None:
             posts = self.chief.status(now, sender, m.life, m.number, m.applied, m.holding, whole.spread)
-        return dm.Beat(m.life, {name: d.owner for name, d in whole.duties.items() if site_of(name) in (None, site)},
-                       beat, dict(whole.caps), whole.table_version, epoch, m.number, posts)
+        return dm.Beat(
+            m.life,
+            {name: d.owner for name, d in whole.duties.items() if site_of(name) in (None, site)},
+            beat,
+            dict(whole.caps),
+            whole.table_version,
+            epoch,
+            m.number,
+            posts,
+        )
 
     def books(self, site: str, number: int) -> dm.Books:
         """What the group holds of a site's servers."""
         whole = self.duties.whole
         orders = {k: o for k, o in whole.orders.items() if o.site == site}
         alive = {kind: self.duties.alive(site, kind) for kind in whole.running.get(site, {})}
-        return dm.Books(site, orders, alive, {n: s.granted for n, s in whole.sites.items()},
-                        {n: s.spent for n, s in whole.sites.items()}, whole.bound - self.duties.taken(), number)
+        return dm.Books(
+            site,
+            orders,
+            alive,
+            {n: s.granted for n, s in whole.sites.items()},
+            {n: s.spent for n, s in whole.sites.items()},
+            whole.bound - self.duties.taken(),
+            number,
+        )
 
     def tick(self, now: float, out: Out) -> None:
         """End leases that have run out."""
@@ -190,8 +216,11 @@
         moves = chief.step(now, self.wanted(), whole.spread) if now >= chief.next_at else []
         if moves and not self._mine(now, Assign(moves), out):
             chief.settled()
-        owners = {site: (state.owner, state.token.group) for site in self.plan.names()
-                  if (state := whole.duties[duty_of(site)]).owner is not None}
+        owners = {
+            site: (state.owner, state.token.group)
+            for site in self.plan.names()
+            if (state := whole.duties[duty_of(site)]).owner is not None
+        }
         room = whole.bound - self.duties.taken()
         for site, why in chief.progress.sites(now, whole.spread, self.plan.wants, owners, room):
             owner, duty = owners[site][0], duty_of(site)
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -74,16 +74,31 @@
         self.desk: Desk | None = None
         if plan.me in plan.members:
             meta = tables.get(META, {})
-            joining = Joining.begin(plan.me, plan.members, meta.get(IDENTITY),
-                                    {int.from_bytes(k): v for k, v in tables.get(KNOWN, {}).items()},
-                                    rng.getrandbits(61) + 1, rng.getrandbits(61), self.begun)
-            self.member = started(plan.me, plan.members, self.duties, tables, joining, rng, now, plan.group,
-                                  plan.sizes)
+            joining = Joining.begin(
+                plan.me,
+                plan.members,
+                meta.get(IDENTITY),
+                {int.from_bytes(k): v for k, v in tables.get(KNOWN, {}).items()},
+                rng.getrandbits(61) + 1,
+                rng.getrandbits(61),
+                self.begun,
+            )
+            self.member = started(
+                plan.me, plan.members, self.duties, tables, joining, rng, now, plan.group, plan.sizes
+            )
             self.desk = Desk(plan, self.member, self.duties)
         self.site = Site.load(
-            plan.me, plan.agents_of(plan.site), rng, tables.get(SITE, {}).get(STATE),
-            Journal(sorted(tables.get(JOURNAL, {}).items())), now, plan.site_times, plan.back_votes, self.life,
-            self.begun)
+            plan.me,
+            plan.agents_of(plan.site),
+            rng,
+            tables.get(SITE, {}).get(STATE),
+            Journal(sorted(tables.get(JOURNAL, {}).items())),
+            now,
+            plan.site_times,
+            plan.back_votes,
+            self.life,
+            self.begun,
+        )
         self.held: dict[str, Held] = {}
         self.work: SiteWork | None = None
         self.demand = Demand(now)
@@ -380,8 +395,16 @@
         self.held[duty] = Held(result.token, asked_at + self.plan.terms.owner)
         out.say("duty_taken", duty=duty, token=str(result.token))
         if duty == duty_of(self.plan.site):
-            self.work = SiteWork(self.plan.site, result.token, self._want, self.plan.pace.yard, self._ask,
-                                 self.client.propose, retire=self.plan.pace.retire, sees_all=self._sees_all)
+            self.work = SiteWork(
+                self.plan.site,
+                result.token,
+                self._want,
+                self.plan.pace.yard,
+                self._ask,
+                self.client.propose,
+                retire=self.plan.pace.retire,
+                sees_all=self._sees_all,
+            )
 
     def _own(self, now: float, out: Out) -> None:
         """Go on with what is owned, renew it, and let go of it when the lease or the token says so."""
@@ -397,7 +420,8 @@
                 continue
             if not held.renewing and held.until - now < self.plan.terms.owner * 2 / 3:
                 held.renewing = self.client.propose(
-                    now, cm.Renew(duty, held.token), partial(self._renewed, duty, held, now), out)
+                    now, cm.Renew(duty, held.token), partial(self._renewed, duty, held, now), out
+                )
         work = self.work if duty_of(self.plan.site) in self.held else None
         if work and work.step(now, self.beat.site if self.beat else None, out):
             self._ask_books(now, out)
@@ -433,8 +457,9 @@
             if left <= self.plan.allowance // 2 and more > 0:
                 room -= more
                 self.allotting = now + self.plan.pace.yard
-                self.client.propose(now, cm.Allot(self.held[CAPACITY].token, site, books.granted[site] + more),
-                                    lambda *_: None, out)
+                self.client.propose(
+                    now, cm.Allot(self.held[CAPACITY].token, site, books.granted[site] + more), lambda *_: None, out
+                )
 
     def _publish(self, now: float, out: Out) -> None:
         """The fleet's table, where the rows have changed since it was last made: a fit is no small work."""
@@ -492,8 +517,11 @@
 
     def _sees_all(self, now: float) -> bool:
         """Whether each agent of the site was heard lately: the demand of one that is not is not in the sum."""
-        return all(now - self.site.others.get(agent, -1e9) <= FRESH_S
-                   for agent in self.site.agents if agent != self.plan.me)
+        return all(
+            now - self.site.others.get(agent, -1e9) <= FRESH_S
+            for agent in self.site.agents
+            if agent != self.plan.me
+        )
 
     # --- the yard ---
     def _ask(self, request: Request, told: Callable[[float, Answer, Out], None], out: Out) -> None:
@@ -504,9 +532,12 @@
     def digest(self) -> dict[str, Any]:
         """What operators ask for."""
         return {
-            "life": self.life, "owns": {d: str(h.token) for d, h in self.held.items()},
-            "site": self.site.role.value, "following": str(self.site.following),
+            "life": self.life,
+            "owns": {d: str(h.token) for d, h in self.held.items()},
+            "site": self.site.role.value,
+            "following": str(self.site.following),
             "leads": bool(self.member and self.member.role.value == "leader"),
-            "sits_out": self.member.joining.refused if self.member else "", "stopped": self.broken,
+            "sits_out": self.member.joining.refused if self.member else "",
+            "stopped": self.broken,
             "journals": [str(t) for t in self.site.journal.acts],
         }
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -37,8 +37,16 @@
     """One agent's part in the fleet's work; `listen` is its own address, `addresses` those of the others."""
 
     def __init__(
-        self, plan: Plan, listen: str, addresses: dict[int, str], group: int, key: bytes, yard: str, store: Store,
-        rng: random.Random, log: Logger,
+        self,
+        plan: Plan,
+        listen: str,
+        addresses: dict[int, str],
+        group: int,
+        key: bytes,
+        yard: str,
+        store: Store,
+        rng: random.Random,
+        log: Logger,
     ) -> None:
         self.plan, self.yard, self.store, self.rng, self.log = plan, yard, store, rng, log
         self.transport = Transport(plan.me, listen, addresses, group, key, rng, self._heard, log)
@@ -109,8 +117,16 @@
             return  # what a build on trial does is not its hardware's
         late = end is it.Status.TIMEOUT
         if late or end is it.Status.OK:
-            self.node.shared.note(self._now(), str(cls), str(entry.kind), entry.server, entry.build, latency_ms,
-                                  alone=left == 0, late=late)
+            self.node.shared.note(
+                self._now(),
+                str(cls),
+                str(entry.kind),
+                entry.server,
+                entry.build,
+                latency_ms,
+                alone=left == 0,
+                late=late,
+            )
 
     def report(self) -> str:
         """What operators ask for."""
@@ -164,7 +180,8 @@
                 continue
             if out.writes:
                 changes: list[Change] = [
-                    Delete(w.table, w.key) if w.value is None else Put(w.table, w.key, w.value) for w in out.writes]
+                    Delete(w.table, w.key) if w.value is None else Put(w.table, w.key, w.value) for w in out.writes
+                ]
                 try:
                     await self.store.commit(changes)
                 except (StoreFailed, ValueError) as error:
--- a/otterquay/fleet/sitework.py
+++ b/otterquay/fleet/sitework.py
@@ -91,8 +91,11 @@
         """All older tokens are refused by now: the list holds whatever they did."""
         if self.listed is None or beat is None:
             return
-        acts = [cm.Act(o.id, "order", o.kind, o.count, o.started) for o in self.listed.orders
-                if Token.parse(o.token).term > 0]
+        acts = [
+            cm.Act(o.id, "order", o.kind, o.count, o.started)
+            for o in self.listed.orders
+            if Token.parse(o.token).term > 0
+        ]
         pieces = [acts[i : i + cm.ACTS_MOST] for i in range(0, len(acts), cm.ACTS_MOST)] or [[]]
 
         def done(at: float, result: cm.Result, o: Out) -> None:
@@ -136,7 +139,8 @@
         assert self.books is not None
         for kind, count in self.want(now, self.books.alive).items():
             coming = self.ordering.get(kind, 0) + sum(
-                e.count for e in self.errands.values() if e.kind == kind and not e.final)
+                e.count for e in self.errands.values() if e.kind == kind and not e.final
+            )
             coming += sum(o.count for n, o in self.books.orders.items() if o.kind == kind and n not in self.errands)
             missing = count - self.books.alive.get(kind, 0) - coming
             missing = min(missing, self.books.room) if missing > 0 else missing
--- a/otterquay/fleet/transport.py
+++ b/otterquay/fleet/transport.py
@@ -108,8 +108,15 @@
     """One agent's messages to and from all others. `heard` gets sender and payload."""
 
     def __init__(
-        self, me: int, listen: str, addresses: Mapping[int, str], group: int, key: bytes, rng: random.Random,
-        heard: Callable[[int, bytes], None], log: Logger,
+        self,
+        me: int,
+        listen: str,
+        addresses: Mapping[int, str],
+        group: int,
+        key: bytes,
+        rng: random.Random,
+        heard: Callable[[int, bytes], None],
+        log: Logger,
     ) -> None:
         if len(key) != 32:
             raise ValueError("the key must be 32 bytes")
@@ -170,7 +177,11 @@
             wait = min(wait * 2, 1.0)
 
     async def _feed(
-        self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, nonce: bytes,
+        self,
+        link: Link,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        nonce: bytes,
     ) -> None:
         number = 0
         # the receiver says no more than its nonce: what comes here is its end
--- a/otterquay/fleet/yard_client.py
+++ b/otterquay/fleet/yard_client.py
@@ -15,8 +15,12 @@
     """Send a request; status 0 where no whole answer came."""
     parts = urlsplit(yard)
     host, port = parts.hostname or "", parts.port or 80
-    headers = [(b"host", f"{host}:{port}".encode()), (b"otterquay-agent", b"%d" % agent),
-               (b"otterquay-token", str(request.token).encode()), (b"connection", b"close")]
+    headers = [
+        (b"host", f"{host}:{port}".encode()),
+        (b"otterquay-agent", b"%d" % agent),
+        (b"otterquay-token", str(request.token).encode()),
+        (b"connection", b"close"),
+    ]
     if request.key:
         headers.append((b"idempotency-key", f'"{request.key}"'.encode()))
     if request.match:
--- a/otterquay/group/handover.py
+++ b/otterquay/group/handover.py
@@ -62,8 +62,11 @@
     None where nobody is heard, or where all lag so far that none could be voted for before it is fed (`last` is the
     newest committed entry).
     """
-    heard = [(peer.match, -(peer.took or within), member) for member, peer in peers.items()
-             if now - peer.heard_at <= within and peer.match >= last]
+    heard = [
+        (peer.match, -(peer.took or within), member)
+        for member, peer in peers.items()
+        if now - peer.heard_at <= within and peer.match >= last
+    ]
     if not heard:
         return None
     return max(heard, key=lambda one: (one[1], one[0], one[2]) if quick else one)[2]
--- a/otterquay/group/joining.py
+++ b/otterquay/group/joining.py
@@ -60,15 +60,22 @@
 
     @classmethod
     def begin(
-        cls, me: int, members: Sequence[int], kept: bytes | None, known: dict[int, bytes], disk: int, nonce: int,
+        cls,
+        me: int,
+        members: Sequence[int],
+        kept: bytes | None,
+        known: dict[int, bytes],
+        disk: int,
+        nonce: int,
         out: Out,
     ) -> Joining:
         """A start with what the disk holds; `disk` names it where it is new."""
         was = msgspec.msgpack.decode(kept, type=Identity) if kept is not None else Identity(disk, 0, False)
         identity = Identity(was.disk, was.boot + 1, was.founded)
         out.write(META, IDENTITY, msgspec.msgpack.encode(identity))
-        return cls(me, members, identity, nonce,
-                   {m: msgspec.msgpack.decode(k, type=Known) for m, k in known.items()})
+        return cls(
+            me, members, identity, nonce, {m: msgspec.msgpack.decode(k, type=Known) for m, k in known.items()}
+        )
 
     @property
     def ready(self) -> bool:
--- a/otterquay/group/member.py
+++ b/otterquay/group/member.py
@@ -204,8 +204,12 @@
             return
         if m.term > self.term:
             self._follow(now, None, out, m.term)
-        granted = (m.term == self.term and self.vote in (None, sender) and self._fresh(m.last, m.last_term)
-                   and self.role is Role.FOLLOWER)
+        granted = (
+            m.term == self.term
+            and self.vote in (None, sender)
+            and self._fresh(m.last, m.last_term)
+            and self.role is Role.FOLLOWER
+        )
         if granted:
             if self.vote is None:
                 self.vote = sender
@@ -286,8 +290,17 @@
         self.beat_at = now + self.times.beat
         for member, peer in self.peers.items():
             if peer.waiting and now - peer.sent_at < self.times.resend:
-                out.send(member, ms.Append(self.term, self.log.base, self.log.base_term, [],
-                                           min(self.commit, self.log.base), self.round))
+                out.send(
+                    member,
+                    ms.Append(
+                        self.term,
+                        self.log.base,
+                        self.log.base_term,
+                        [],
+                        min(self.commit, self.log.base),
+                        self.round,
+                    ),
+                )
             else:
                 self._feed(now, member, peer, out)
 
@@ -297,8 +310,9 @@
         peer.sent_at = now
         if term is None:
             peer.waiting = True
-            out.send(member, ms.Install(self.term, self.log.base, self.log.base_term, self.log.state or b"",
-                                        self.round))
+            out.send(
+                member, ms.Install(self.term, self.log.base, self.log.base_term, self.log.state or b"", self.round)
+            )
             return
         entries = self.log.after(before, self.sizes.entries, self.sizes.bytes)
         peer.waiting = bool(entries)
@@ -368,8 +382,12 @@
         if m.before > self.log.base and self.log.term_at(m.before) != m.before_term:
             hint = min(m.before - 1, self.log.last)
             worse = self.log.term_at(hint)
-            while hint > self.log.base and worse is not None and self.log.term_at(hint) == worse and (
-                    worse > m.before_term):
+            while (
+                hint > self.log.base
+                and worse is not None
+                and self.log.term_at(hint) == worse
+                and (worse > m.before_term)
+            ):
                 hint -= 1
             out.send(sender, ms.Appended(self.term, False, hint, m.round))
             return
@@ -397,8 +415,15 @@
 
 
 def started(
-    me: int, members: Sequence[int], machine: Machine, table: Mapping[str, Mapping[bytes, bytes]],
-    joining: Joining, rng: random.Random, now: float, times: Times, sizes: Sizes,
+    me: int,
+    members: Sequence[int],
+    machine: Machine,
+    table: Mapping[str, Mapping[bytes, bytes]],
+    joining: Joining,
+    rng: random.Random,
+    now: float,
+    times: Times,
+    sizes: Sizes,
 ) -> Member:
     """A member with what the tables of its disk hold. ValueError, msgspec.MsgspecError: they cannot be right."""
     log = Log()
--- a/otterquay/interface.py
+++ b/otterquay/interface.py
@@ -365,8 +365,19 @@
 
 
 Event = (
-    Started | ServerList | Request | Begun | Outcome | Abandoned | TimerFired
-    | ProbeResult | PeerMessage | StageNews | Tally | Complaint | Restored
+    Started
+    | ServerList
+    | Request
+    | Begun
+    | Outcome
+    | Abandoned
+    | TimerFired
+    | ProbeResult
+    | PeerMessage
+    | StageNews
+    | Tally
+    | Complaint
+    | Restored
 )
 
 
@@ -464,6 +475,5 @@
 
 
 Action = (
-    Send | Refuse | Fail | Cancel | Probe | CloseIdle | SetTimer | TellPeers | CastVote
-    | FetchList | Watch | Log
+    Send | Refuse | Fail | Cancel | Probe | CloseIdle | SetTimer | TellPeers | CastVote | FetchList | Watch | Log
 )
--- a/otterquay/lab/chat.py
+++ b/otterquay/lab/chat.py
@@ -32,8 +32,18 @@
         for number in range(self.people):
             tenant = rng.choices([n for n, _ in tenants], [s for _, s in tenants])[0]
             own = random.Random(rng.getrandbits(64))
-            self.chatters.append(Chatter(number, self.tape, own, self.chat, self.running, tenant,
-                                         tuple(self.service.chat.command), self.fault_share))
+            self.chatters.append(
+                Chatter(
+                    number,
+                    self.tape,
+                    own,
+                    self.chat,
+                    self.running,
+                    tenant,
+                    tuple(self.service.chat.command),
+                    self.fault_share,
+                )
+            )
         patience = max(c.deadline for c in self.service.class_.values()) / 1e3 + self.patience_s
         until = loop.time() + self.day.duration / 1e3
         await asyncio.gather(*(c.run(until, self.pause_s, patience) for c in self.chatters))
@@ -102,9 +112,20 @@
             violations.append(f"{op}: refused as harmless, but spent at server {life.ran[0].server}")
         if "served" in kinds and not life.ran:
             violations.append(f"{op}: served, but never spent")
-    names = ("commands", "answers", "unanswered", "answered_twice", "entry_commands", "entry_spends",
-             "entry_spent_twice", "resumed", "came_back_to_nothing", "not_taken", "answers_sent_again",
-             *(f"answered_{kind}" for kind in FINAL))
+    names = (
+        "commands",
+        "answers",
+        "unanswered",
+        "answered_twice",
+        "entry_commands",
+        "entry_spends",
+        "entry_spent_twice",
+        "resumed",
+        "came_back_to_nothing",
+        "not_taken",
+        "answers_sent_again",
+        *(f"answered_{kind}" for kind in FINAL),
+    )
     return {**{name: counts[name] for name in names}, "violations": violations}
 
 
--- a/otterquay/lab/cluster/day.py
+++ b/otterquay/lab/cluster/day.py
@@ -12,8 +12,25 @@
 from otterquay.config.units import Count, Duration, Positive, Share
 
 Kind = Literal[
-    "stop", "kill", "kill_all", "cut_site", "split_site", "one_way", "flap", "cut_agent", "lose_majority", "yard",
-    "links", "late_yard", "empty_disk", "old_disk", "full_disk", "servers_end", "nonsense", "gray", "roll",
+    "stop",
+    "kill",
+    "kill_all",
+    "cut_site",
+    "split_site",
+    "one_way",
+    "flap",
+    "cut_agent",
+    "lose_majority",
+    "yard",
+    "links",
+    "late_yard",
+    "empty_disk",
+    "old_disk",
+    "full_disk",
+    "servers_end",
+    "nonsense",
+    "gray",
+    "roll",
     "kill_most",
 ]
 
--- a/otterquay/lab/cluster/faults/links.py
+++ b/otterquay/lab/cluster/faults/links.py
@@ -24,6 +24,7 @@
     def heal() -> None:
         for pair in directions:
             world.wires[pair].cuts -= 1
+
     return heal
 
 
@@ -76,4 +77,5 @@
     def undo() -> None:
         for wire in world.wires.values():
             wire.loss = wire.repeat = wire.late_s = 0.0
+
     return undo
--- a/otterquay/lab/cluster/faults/yard.py
+++ b/otterquay/lab/cluster/faults/yard.py
@@ -18,6 +18,7 @@
 
     def undo() -> None:
         yard.lose = yard.late_s = yard.book.half = 0.0
+
     return undo
 
 
--- a/otterquay/lab/fleetsim/size.py
+++ b/otterquay/lab/fleetsim/size.py
@@ -51,6 +51,7 @@
         def again(duty: str = duty, token: object = token) -> bool:
             now = sim.leader()
             return now is not None and now.duties.whole.duties[duty].token != token
+
         if sim.run(sim.now + 60.0, again):
             unowned.append(sim.now - at)
         sim.start(killed)
--- a/otterquay/lab/fleetsim/spread_mutants.py
+++ b/otterquay/lab/fleetsim/spread_mutants.py
@@ -83,6 +83,7 @@
             found = _books(self, site, number)
             kept[id(self), site] = now, found
         return msgspec.structs.replace(found, number=number)
+
     with mock.patch.object(Desk, "books", books):
         yield
 
--- a/otterquay/lab/mass/servers.py
+++ b/otterquay/lab/mass/servers.py
@@ -42,9 +42,11 @@
         self.out[end] = None
         return True
 
-    def work(self, now: Callable[[], float], later: Clock, rules: it.RuleFigures, work_ms: float,
-             rng: random.Random) -> None:
+    def work(
+        self, now: Callable[[], float], later: Clock, rules: it.RuleFigures, work_ms: float, rng: random.Random
+    ) -> None:
         """Begin what it can."""
+
         def worked(end: End, life: int) -> None:
             if life != self.life:
                 return
--- a/otterquay/node/agent.py
+++ b/otterquay/node/agent.py
@@ -44,14 +44,24 @@
     settle_s = FLUSH_S
 
     def __init__(
-        self, config: NodeConfig, rng: random.Random, wall: Callable[[], float], log: Logger,
+        self,
+        config: NodeConfig,
+        rng: random.Random,
+        wall: Callable[[], float],
+        log: Logger,
         decider: Callable[[it.Settings, int], Decider] = Agent,
     ) -> None:
         settings, free = config.settings, config.sockets - KEPT_BACK
         clients = int(free * CLIENTS_PART)
         speech = RespSpeech(config.report_names)
-        pool = Pool(config.connect_timeout_ms / 1e3, max(settings.limits.keepalive_ms * IDLE_PART, 50.0) / 1e3,
-                    speech, log, free - clients, REST_S)
+        pool = Pool(
+            config.connect_timeout_ms / 1e3,
+            max(settings.limits.keepalive_ms * IDLE_PART, 50.0) / 1e3,
+            speech,
+            log,
+            free - clients,
+            REST_S,
+        )
         super().__init__(settings, pool, rng, log, decider)
         self._config = config
         self.front = Front(config.listen, settings, self, clients, int(config.sockets * ROOMY_PART), log)
@@ -59,8 +69,14 @@
         self.platform = Platform(config.platform, config.news, self, rng, log)
         peers = None
         if settings.limits.peers and config.peer_listen:
-            peers = PeerSocket(config.peer_listen, settings.me, config.peers, config.peers_all,
-                               lambda n, d: self.post(it.PeerMessage(n, d)), log)
+            peers = PeerSocket(
+                config.peer_listen,
+                settings.me,
+                config.peers,
+                config.peers_all,
+                lambda n, d: self.post(it.PeerMessage(n, d)),
+                log,
+            )
         self.ports = Ports(self.front, self.list, self.platform, speech, self._first, peers)
 
     def _first(self, now_ms: float) -> Iterator[it.Event]:
@@ -71,8 +87,11 @@
 
     def move(self, config: NodeConfig) -> None:
         """Follow discovery and platform at the addresses of a new configuration; nothing else of it may change."""
-        fixed = [f.name for f in fields(config) if f.name not in MOVES and
-                 getattr(config, f.name) != getattr(self._config, f.name)]
+        fixed = [
+            f.name
+            for f in fields(config)
+            if f.name not in MOVES and getattr(config, f.name) != getattr(self._config, f.name)
+        ]
         if fixed:
             self.log.warning("reload_fields_ignored", fields=", ".join(fixed))
         self.log.info("reloaded", discovery=config.discovery, platform=config.platform)
--- a/otterquay/node/asks.py
+++ b/otterquay/node/asks.py
@@ -24,8 +24,11 @@
 
     @staticmethod
     def of(settings: it.Settings) -> AskReader:
-        return AskReader({c.name.encode(): i for i, c in enumerate(settings.classes)},
-                      {t.name.encode(): i for i, t in enumerate(settings.tenants)}, settings)
+        return AskReader(
+            {c.name.encode(): i for i, c in enumerate(settings.classes)},
+            {t.name.encode(): i for i, t in enumerate(settings.tenants)},
+            settings,
+        )
 
     def read(self, words: list[bytes]) -> Ask:
         """The ask in a command; ProtocolError names what is at fault and what it may be."""
--- a/otterquay/node/client.py
+++ b/otterquay/node/client.py
@@ -77,8 +77,20 @@
 class Client(asyncio.Protocol):
     """One client connection. Times are seconds of the front's `awake` clock."""
 
-    __slots__ = ("bytes_dropped", "ending_since", "feeding", "front", "half_since", "idle_since", "parser",
-                 "read_at", "slots", "state", "transport", "write_stall")
+    __slots__ = (
+        "bytes_dropped",
+        "ending_since",
+        "feeding",
+        "front",
+        "half_since",
+        "idle_since",
+        "parser",
+        "read_at",
+        "slots",
+        "state",
+        "transport",
+        "write_stall",
+    )
 
     def __init__(self, front: Front) -> None:
         self.front, self.parser, self.slots = front, resp.CommandParser(), deque[Slot]()
@@ -199,8 +211,9 @@
 
     def idle(self) -> bool:
         """Whether nothing is owed here, nothing has begun to come and nothing lies unread."""
-        return (self.state is State.OPEN and not self.slots and not self.parser.started
-                and not unread(self.transport))
+        return (
+            self.state is State.OPEN and not self.slots and not self.parser.started and not unread(self.transport)
+        )
 
     def close(self) -> None:
         """The end, after what is written has left."""
@@ -233,8 +246,7 @@
         elif self.state is State.ENDING:
             if now - self.ending_since >= ENDING_S:
                 self.give_up()
-        elif self.half_since is not None and (
-                now - self.read_at >= HALF_S or now - self.half_since >= HALF_MOST_S):
+        elif self.half_since is not None and (now - self.read_at >= HALF_S or now - self.half_since >= HALF_MOST_S):
             if not unread(self.transport):
                 self.doom("half a command")
         elif now - self.idle_since >= IDLE_S and self.idle():
