--- a/otterquay/node/config.py
+++ b/otterquay/node/config.py
@@ -116,18 +116,38 @@
         raise ConfigError("loadReport: names are no list of words")
     state, told = None, file.pipeline.news
     if told:
-        words = [b"%d" % told.release, b"%d" % told.tranche, told.mode.encode(), b"%.9f" % told.exposure,
-                 b"%.3f" % max(told.old_ms, 0.0)]
+        words = [
+            b"%d" % told.release,
+            b"%d" % told.tranche,
+            told.mode.encode(),
+            b"%.9f" % told.exposure,
+            b"%.3f" % max(told.old_ms, 0.0),
+        ]
         try:
             state = read_state(words, len(settings.rollout.stage_cap))
         except ValueError as error:
             raise ConfigError(f"pipeline.news: {error}; modes are {b', '.join(PHASES).decode()}") from None
     return NodeConfig(
-        file.name, file.listen, file.discovery, file.pipeline.address, state, bytes(file.known),
-        file.peer_listen, tuple(file.peers), file.peers_all, _seed(file.seed), file.limits.sockets, settings,
-        tuple(raw.localities) or ("",), tuple(raw.kinds), raw.limits.connect_timeout_ms,
-        tuple((name.encode(), field.value.encode())
-              for name, field in zip(raw.load_report.names, settings.report_fields, strict=True)))
+        file.name,
+        file.listen,
+        file.discovery,
+        file.pipeline.address,
+        state,
+        bytes(file.known),
+        file.peer_listen,
+        tuple(file.peers),
+        file.peers_all,
+        _seed(file.seed),
+        file.limits.sockets,
+        settings,
+        tuple(raw.localities) or ("",),
+        tuple(raw.kinds),
+        raw.limits.connect_timeout_ms,
+        tuple(
+            (name.encode(), field.value.encode())
+            for name, field in zip(raw.load_report.names, settings.report_fields, strict=True)
+        ),
+    )
 
 
 def load_config(path: str) -> NodeConfig:
--- a/otterquay/node/discovery.py
+++ b/otterquay/node/discovery.py
@@ -28,8 +28,14 @@
     """Follows discovery at an address that may change. `wall` gives Unix time in seconds."""
 
     def __init__(
-        self, address: str, zones: tuple[str, ...], kinds: tuple[str, ...], runtime: Runtime, rng: random.Random,
-        wall: Callable[[], float], log: Logger,
+        self,
+        address: str,
+        zones: tuple[str, ...],
+        kinds: tuple[str, ...],
+        runtime: Runtime,
+        rng: random.Random,
+        wall: Callable[[], float],
+        log: Logger,
     ) -> None:
         self._address, self._runtime, self._rng, self._wall, self._log = address, runtime, rng, wall, log
         self.book, self._reader = FleetBook(zones), TargetReader(list(kinds))
@@ -68,7 +74,13 @@
 
     async def _run(self) -> None:
         await Reconnect(
-            self._converse, lambda: self._came, self._broken, self._log, "discovery_fault", self._rng, *BACKOFF_S,
+            self._converse,
+            lambda: self._came,
+            self._broken,
+            self._log,
+            "discovery_fault",
+            self._rng,
+            *BACKOFF_S,
         ).run()
 
     def _broken(self, reason: str, failures: int) -> bool:
--- a/otterquay/node/peers.py
+++ b/otterquay/node/peers.py
@@ -15,8 +15,13 @@
     """One agent's socket to its tier; `heard` gets sender and words."""
 
     def __init__(
-        self, listen: str, me: int, peers: Sequence[str], every: str | None,
-        heard: Callable[[int, bytes], None], log: Logger,
+        self,
+        listen: str,
+        me: int,
+        peers: Sequence[str],
+        every: str | None,
+        heard: Callable[[int, bytes], None],
+        log: Logger,
     ) -> None:
         self._listen, self._me, self._heard, self._log = split_address(listen), me, heard, log
         self._peers = [split_address(address) for address in peers]
--- a/otterquay/node/platform.py
+++ b/otterquay/node/platform.py
@@ -93,7 +93,13 @@
 
     async def _run(self) -> None:
         await Reconnect(
-            self._converse, lambda: self._came, self._broken, self._log, "platform_fault", self._rng, *BACKOFF_S,
+            self._converse,
+            lambda: self._came,
+            self._broken,
+            self._log,
+            "platform_fault",
+            self._rng,
+            *BACKOFF_S,
             (*BREAKS, RuntimeError),
         ).run()
 
--- a/otterquay/policy/agent.py
+++ b/otterquay/policy/agent.py
@@ -1,4 +1,5 @@
 """All decisions of otterquay, joined; their types, events and actions are in otterquay/interface.py."""
+
 from otterquay import interface as it
 from otterquay.policy.bins import Bins
 from otterquay.policy.life import Life
--- a/otterquay/policy/bins.py
+++ b/otterquay/policy/bins.py
@@ -1,4 +1,5 @@
 """The end of a bin: series roll on, evidence is told and fades, pairs are scored."""
+
 from statistics import fmean
 
 from otterquay import interface as it
@@ -22,12 +23,12 @@
             server.close()
         judged = self.news.build > 0 and self.news.phase in (it.Phase.TRIAL, it.Phase.RELEASED)
         self._tell()
-        judge, own = not self.judges or self.s.me in self.judges, sum(self.fresh[:4 * self.n:4])
+        judge, own = not self.judges or self.s.me in self.judges, sum(self.fresh[: 4 * self.n : 4])
         row = [x + y for x, y in zip(self.fresh, self.heard, strict=True)]
         # a bin in which nothing came changes no mind; who tells its evidence votes back on it, never on
-        came = any(row[1:4 * self.n:4]) or (judge and (any(row) or any(self.tallied)))
+        came = any(row[1 : 4 * self.n : 4]) or (judge and (any(row) or any(self.tallied)))
         for name, add in (("own", row), ("tally", self.tallied)):  # evidence fades
-            n1, s1, n0, s0 = add[4 * self.n:]  # levels are set against those of the same bin, as load changes
+            n1, s1, n0, s0 = add[4 * self.n :]  # levels are set against those of the same bin, as load changes
             add = [*add, n := min(n1, n0), n * s1 / max(n1, 1.0), n * s0 / max(n0, 1.0)]
             for at in (name, POOL_BINS), (name, DEEP):
                 self.pools[at] = [x * (1 - 1 / at[1]) + y for x, y in zip(self.pools[at], add, strict=True)]
--- a/otterquay/policy/breaker.py
+++ b/otterquay/policy/breaker.py
@@ -1,4 +1,5 @@
 """When a build on trial is sent back at once: errors, levels, late classes, all slower since it came."""
+
 import math
 from statistics import median
 
@@ -30,17 +31,24 @@
                 usual = max(self.before.get((name, some, cls), CHANCE) for some in (POOL_BINS, DEEP))
                 # while machines of the earlier build fail too, most of the trial's must fail far more
                 sure = many == 1 and x > MACHINES * usual * n and most and hit >= MACHINES
-                if total > 1.5 and (sure or (self.shared and usual <= CHANCE)) and x > max(
-                        1.5, (usual + ERROR_MARGIN) * n) and tail(max(n, x), x, usual + CHANCE) < SURE / many:
+                if (
+                    total > 1.5
+                    and (sure or (self.shared and usual <= CHANCE))
+                    and x > max(1.5, (usual + ERROR_MARGIN) * n)
+                    and tail(max(n, x), x, usual + CHANCE) < SURE / many
+                ):
                     return f"errors {name} class {cls}: {x:.0f} of {n:.0f}, usual {usual:.3f}"
             if self.news.phase is it.Phase.TRIAL and trial and earlier and n1 >= LEVEL_LEAST:
                 m1, m0 = s1 / n1, 2 * max(s0 / n1, 0.0)  # idle ones are no measure
                 warm = sum(self._age(s) > self.s.rules.cold_ms + 2 * BIN_MS for s in trial)
                 noise = math.sqrt(2 * NOISE / n1 + SERVER_NOISE / max(warm, 1))
-                if m1 - m0 - math.sqrt(SIGMAS ** 2 + 2 * math.log(many)) * noise > LEVEL_BACK:
+                if m1 - m0 - math.sqrt(SIGMAS**2 + 2 * math.log(many)) * noise > LEVEL_BACK:
                     return f"level {name}: {math.exp(m1 - s0 / n1):.2f} times earlier, {n1:.0f} each"
-        late = [c for c, cls in enumerate(self.s.classes if own >= 2 * self.n else ())
-                if self._middle(trial, c) > cls.aim_ms >= self._middle(earlier, c) > 0]
+        late = [
+            c
+            for c, cls in enumerate(self.s.classes if own >= 2 * self.n else ())
+            if self._middle(trial, c) > cls.aim_ms >= self._middle(earlier, c) > 0
+        ]
         self.late_bins = self.late_bins + 1 if late and self.news.phase is it.Phase.TRIAL else 0
         n1, s1, n0, s0 = self._totals("own", DEEP)[1][:4]  # log latency over the usual of before
         # against a good build held for what the earlier one does: what slows all slows the trial's servers,
--- a/otterquay/policy/evidence.py
+++ b/otterquay/policy/evidence.py
@@ -1,4 +1,5 @@
 """What outcomes, complaints, tallies and other agents show of servers and builds."""
+
 import math
 import struct
 
@@ -71,22 +72,22 @@
 
     def _totals(self, name: str, span: int) -> tuple[list[list[float]], list[float]]:  # classes, all; levels
         sums = self.pools[name, span]
-        rows = [sums[4 * c:4 * c + 4] for c in range(self.n)]
-        return [*rows, [sum(sums[i:4 * self.n:4]) for i in range(4)]], sums[4 * self.n:]
+        rows = [sums[4 * c : 4 * c + 4] for c in range(self.n)]
+        return [*rows, [sum(sums[i : 4 * self.n : 4]) for i in range(4)]], sums[4 * self.n :]
 
     def _peermessage(self, event: it.PeerMessage) -> None:  # counts like our own, however late
         fits = len(event.data) == NOTE.size + 4 * len(self.fresh)
         if fits and NOTE.unpack_from(event.data) == (1, self.news.build, self.n):
             row = struct.unpack_from(f"<{len(self.fresh)}f", event.data, NOTE.size)
-            if all(map(math.isfinite, row)) and min(row[:4 * self.n]) >= 0:
+            if all(map(math.isfinite, row)) and min(row[: 4 * self.n]) >= 0:
                 self.heard = [x + y for x, y in zip(self.heard, row, strict=True)]
 
     def _tell(self) -> None:  # evidence on the build judged goes to the judges, each piece once
         self.untold = [x + y for x, y in zip(self.untold, self.fresh, strict=True)]
-        if sum(self.untold[:4 * self.n:2]) < NOTE_WORTH and self.now < self.tell_at:
+        if sum(self.untold[: 4 * self.n : 2]) < NOTE_WORTH and self.now < self.tell_at:
             return
         note = NOTE.pack(1, self.news.build, self.n) + struct.pack(f"<{len(self.untold)}f", *self.untold)
-        if any(any(self.untold[4 * c:4 * c + 2]) for c in range(self.n)) and len(note) <= 256:
+        if any(any(self.untold[4 * c : 4 * c + 2]) for c in range(self.n)) and len(note) <= 256:
             self.out.extend(it.TellPeers(peer, note) for peer in self.judges if peer != self.s.me)
         self.untold, self.tell_at = self.none[:], self.now + TELL_MS
 
--- a/otterquay/policy/life.py
+++ b/otterquay/policy/life.py
@@ -1,4 +1,5 @@
 """A request's life: tried, answered, tried again, given up."""
+
 from otterquay import interface as it
 from otterquay.policy.evidence import Evidence
 from otterquay.policy.routing import Routing
--- a/otterquay/policy/news.py
+++ b/otterquay/policy/news.py
@@ -1,4 +1,5 @@
 """What is told: the list of servers, the stage, what a store kept over a restart."""
+
 import math
 
 from otterquay import interface as it
--- a/otterquay/policy/routing.py
+++ b/otterquay/policy/routing.py
@@ -1,4 +1,5 @@
 """Which server an attempt goes to."""
+
 import math
 
 from otterquay import interface as it
@@ -48,8 +49,9 @@
             if shut and every is self.groups[1][1]:
                 continue
             for some in (few, (near, every)):
-                close, can = ([s for s in those if s.ok >= DEAD_OK and s.id not in used and fits(s)]
-                              for those in some)
+                close, can = (
+                    [s for s in those if s.ok >= DEAD_OK and s.id not in used and fits(s)] for those in some
+                )
                 if SMALL * len(every) > len(near) * self.s.zones:  # else all agents near would push it over
                     close = [s for s in close if not self._cold(s)]
                 if close or can:  # DESIGN: two random choices
@@ -62,7 +64,7 @@
         if self.refused > REFUSED_PART and (linked := [s for s in group if self.now - s.linked < keep]):
             return linked
         span = min(keep / KEPT_GAPS, math.inf if self.gauge is None else LOAD_MS) * len(group) / self.fleet
-        return group[:max(KEPT_LEAST, math.ceil(self._exposed(0, 0, True)[1] * span / self.roll.window_ms))]
+        return group[: max(KEPT_LEAST, math.ceil(self._exposed(0, 0, True)[1] * span / self.roll.window_ms))]
 
     def _fill(self, job: Job) -> bool:  # DESIGN: fill the cap; ours: up to an even share, by chance, no burst
         newest = max(self.on_trial)
--- a/otterquay/policy/rules.py
+++ b/otterquay/policy/rules.py
@@ -1,10 +1,11 @@
 """The five rules: the one place that decides whether an attempt may be sent."""
+
 import math
 
 from otterquay import interface as it
 from otterquay.policy.state import BIN_MS, Job, Server, State, recent
 
-COLD_PART, ANY_BEARS, KEYS_MOST = 0.85, 3.0, 2 ** 18  # of a cold budget; what any bears a window; keys kept
+COLD_PART, ANY_BEARS, KEYS_MOST = 0.85, 3.0, 2**18  # of a cold budget; what any bears a window; keys kept
 
 
 class Rules(State):  # guards by what we sent and were told
@@ -53,7 +54,8 @@
                 return False
             first = ran[0].server.entry
             away = (cls.scope is it.Scope.ZONE and entry.zone != first.zone) or (
-                cls.scope is it.Scope.CELL and entry.cell != first.cell)
+                cls.scope is it.Scope.CELL and entry.cell != first.cell
+            )
             if cls.effect is it.Effect.KEYED and (away or self.now - ran[0].sent >= cls.repeat_window_ms):
                 return False
         return not self._shut(job, entry.build) and (not self._cold(server) or self._bears_more(server))
--- a/otterquay/policy/scoring.py
+++ b/otterquay/policy/scoring.py
@@ -1,4 +1,5 @@
 """Evidence and scoring: small pure functions."""
+
 import math
 from collections.abc import Sequence
 from statistics import fmean, pvariance, variance
@@ -35,7 +36,7 @@
 def settled(points: Sequence[float]) -> bool:  # DESIGN: halves that a t-test finds alike, or flat ones
     if len(points) < POINTS_LEAST:
         return False
-    a, b, df = points[:len(points) // 2], points[len(points) // 2:], len(points) - 2
+    a, b, df = points[: len(points) // 2], points[len(points) // 2 :], len(points) - 2
     spread = ((len(a) - 1) * variance(a) + (len(b) - 1) * variance(b)) / df * (1 / len(a) + 1 / len(b))
     return abs(fmean(a) - fmean(b)) <= T_LIMIT[min(df, len(T_LIMIT)) - 1] * math.sqrt(spread)
 
--- a/otterquay/policy/state.py
+++ b/otterquay/policy/state.py
@@ -1,4 +1,5 @@
 """What an agent keeps: servers, attempts, requests, evidence; and the figures that several subjects share."""
+
 import math
 import random
 from bisect import bisect_right
@@ -17,7 +18,7 @@
 
 
 def recent(times: list[float], since: float) -> int:  # how many are later; the others are dropped
-    del times[:bisect_right(times, since)]
+    del times[: bisect_right(times, since)]
     return len(times)
 
 
--- a/otterquay/policy/votes.py
+++ b/otterquay/policy/votes.py
@@ -1,4 +1,5 @@
 """Whether to vote on a build, and how."""
+
 from statistics import fmean
 
 from otterquay import interface as it
@@ -29,10 +30,13 @@
         pools = [self._totals(name, POOL_BINS) for name in ("own", "tally")]
         places = len(earlier) + len(trial) * (self.roll.replacement is it.Replacement.IN_PLACE)
         unseen = len(trial) < SEEN_PART * self.roll.stage_share[self.news.stage] * places
-        works = [c for c, (n, got) in enumerate(self.tried[:self.n]) if got >= (1 - JAM) * n]
+        works = [c for c, (n, got) in enumerate(self.tried[: self.n]) if got >= (1 - JAM) * n]
         jam = not works or min(old_x / max(old_n, 1) for _, _, old_n, old_x in pools[1][0]) > JAM
-        failing = self.shared and any(x > max(1.5, 2 * ERROR_MARGIN * n, 2 * old_x / max(old_n, 1) * n)
-                                      for rows, _ in pools for n, x, old_n, old_x in rows)
+        failing = self.shared and any(
+            x > max(1.5, 2 * ERROR_MARGIN * n, 2 * old_x / max(old_n, 1) * n)
+            for rows, _ in pools
+            for n, x, old_n, old_x in rows
+        )
         least = CLASS_LEAST * (1 + self.news.stage)  # of a class that is shed, none can come
         seen = any(r[-1][0] >= OUTCOMES_LEAST and all(r[c][0] >= least for c in works) for r, _ in pools)
         n1, _, n0, s0, *_ = pools[0][1]
--- a/otterquay/protocol/http.py
+++ b/otterquay/protocol/http.py
@@ -8,10 +8,20 @@
 
 import httptools
 
-HOP_BY_HOP = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"host", b"content-length", b"expect",
-))
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"host",
+        b"content-length",
+        b"expect",
+    )
+)
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
@@ -95,8 +105,9 @@
             self.failed = ProtocolError(on_upgrade, "no protocol upgrade here")
         except httptools.HttpParserError as error:
             cause = error.__context__
-            self.failed = cause if isinstance(cause, ProtocolError) else ProtocolError(
-                400, f"malformed HTTP: {error}")
+            self.failed = (
+                cause if isinstance(cause, ProtocolError) else ProtocolError(400, f"malformed HTTP: {error}")
+            )
 
 
 class RequestParser(_Message):
@@ -116,10 +127,15 @@
             raise ProtocolError(400, "both content-length and transfer-encoding")
 
     def on_message_complete(self) -> None:
-        self._done.append(HttpRequest(
-            self._parser.get_method(), self._target, self._headers, b"".join(self._body),
-            self._parser.should_keep_alive(),
-        ))
+        self._done.append(
+            HttpRequest(
+                self._parser.get_method(),
+                self._target,
+                self._headers,
+                b"".join(self._body),
+                self._parser.should_keep_alive(),
+            )
+        )
         self.started = False
 
     def feed(self, data: bytes) -> list[HttpRequest]:
@@ -183,9 +199,7 @@
         return self._response(False) if self.started and self._until_close else None
 
 
-def write_request(
-    method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b""
-) -> bytes:
+def write_request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
     """A whole request with its content-length."""
     head = b"".join([b"%b: %b\r\n" % header for header in headers])
     return b"%b %b HTTP/1.1\r\n%bcontent-length: %d\r\n\r\n%b" % (method, target, head, len(body), body)
@@ -198,4 +212,10 @@
     head = b"".join([b"%b: %b\r\n" % header for header in headers])
     close = b"" if keep_alive else b"connection: close\r\n"
     return b"HTTP/1.1 %d %b\r\n%b%bcontent-length: %d\r\n\r\n%b" % (
-        status, PHRASES.get(status, b"Unknown"), head, close, len(body), body)
+        status,
+        PHRASES.get(status, b"Unknown"),
+        head,
+        close,
+        len(body),
+        body,
+    )
--- a/otterquay/protocol/peer.py
+++ b/otterquay/protocol/peer.py
@@ -132,7 +132,7 @@
         if kind == TICKET:
             return list(self._ticket(sender, first, second))
         if kind == DATA:
-            return self._data(sender, first, second, body[_HEAD.size:])
+            return self._data(sender, first, second, body[_HEAD.size :])
         if kind == RESET:
             return list(self._reset(sender, first))
         raise PeerRefused(f"unknown kind {kind}")
@@ -161,4 +161,3 @@
         if not link.fresh(number):
             raise PeerRefused(f"from {sender}: message {number} came before")
         return [Deliver(sender, data)]
-
--- a/otterquay/protocol/platform.py
+++ b/otterquay/protocol/platform.py
@@ -9,14 +9,21 @@
 
 LINE_MOST = 8191  # bytes; at 8 KiB a line ends the connection
 PHASES = {
-    b"testing": it.Phase.TRIAL, b"recalling": it.Phase.GOING_BACK, b"live": it.Phase.RELEASED,
+    b"testing": it.Phase.TRIAL,
+    b"recalling": it.Phase.GOING_BACK,
+    b"live": it.Phase.RELEASED,
     b"recalled": it.Phase.WITHDRAWN,
 }
 VERDICTS = {
-    it.Verdict.NONE: b"WITHDRAW", it.Verdict.ON: b"PROCEED", it.Verdict.HOLD: b"HOLD", it.Verdict.BACK: b"ROLLBACK",
+    it.Verdict.NONE: b"WITHDRAW",
+    it.Verdict.ON: b"PROCEED",
+    it.Verdict.HOLD: b"HOLD",
+    it.Verdict.BACK: b"ROLLBACK",
 }
 ERRORS = {
-    b"Throttling": it.Status.FULL, b"ConditionFailed": it.Status.MOOT, b"InternalFailure": it.Status.ERROR,
+    b"Throttling": it.Status.FULL,
+    b"ConditionFailed": it.Status.MOOT,
+    b"InternalFailure": it.Status.ERROR,
     b"ValidationError": it.Status.MOOT,  # no such call or field here: as good as a state that has passed
 }
 _NUMBER = re.compile(rb"\d{1,12}(\.\d{1,9})?(e[+-]?\d{1,2})?")
--- a/otterquay/protocol/resp.py
+++ b/otterquay/protocol/resp.py
@@ -34,7 +34,7 @@
 
     def _came(self, data: bytes) -> None:
         if self._at:
-            del self._data[:self._at]
+            del self._data[: self._at]
             self._at = 0
         self._data += data
 
@@ -44,13 +44,13 @@
             if len(self._data) - self._at > most + 1:
                 raise ProtocolError(400, f"a line over {most} bytes")
             return None
-        line = bytes(self._data[self._at:end])
+        line = bytes(self._data[self._at : end])
         self._at = end + 2
         return line
 
     def _length(self, sign: bytes, most: int) -> int | None:
         """A line of sign and length, -1 for null; None while it is not whole."""
-        if self._data[self._at:self._at + 1] not in (b"", sign):
+        if self._data[self._at : self._at + 1] not in (b"", sign):
             raise ProtocolError(400, f"{sign.decode()!r} was wanted")
         line = self._line(LENGTH_MOST)
         if line is None:
@@ -68,9 +68,9 @@
             if len(self._data) == end + 1 and self._data[end] != 13:
                 raise ProtocolError(400, "a length that does not fit")
             return None
-        if self._data[end:end + 2] != b"\r\n":
+        if self._data[end : end + 2] != b"\r\n":
             raise ProtocolError(400, "a length that does not fit")
-        bulk = bytes(self._data[self._at:end])
+        bulk = bytes(self._data[self._at : end])
         self._at = end + 2
         return bulk
 
@@ -182,7 +182,7 @@
         if not self._kind:
             if not self.waiting:
                 return None
-            self._kind = bytes(self._data[self._at:self._at + 1])
+            self._kind = bytes(self._data[self._at : self._at + 1])
             if self._kind not in (b"*", b"$", b"+", b"-"):
                 raise ProtocolError(502, "bytes that begin no answer")
         if self._kind in (b"+", b"-"):
--- a/otterquay/protocol/targets.py
+++ b/otterquay/protocol/targets.py
@@ -16,7 +16,9 @@
 from otterquay.protocol import news
 
 _STATES: dict[str, Literal["ready", "draining", "gone"]] = {
-    "in_service": "ready", "terminating": "draining", "terminated": "gone",
+    "in_service": "ready",
+    "terminating": "draining",
+    "terminated": "gone",
 }
 _NUMERIC = re.compile(r"\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 
@@ -82,5 +84,14 @@
             del self._names[number]
         age = wall_ms - found.started_at_ms if found.started_at_ms > 0 else None
         return news.Entry(
-            number, found.zone, _STATES[found.lifecycle], found.version_no, found.host_port, _life(found),
-            self._kinds.get(found.machine_type, 0), found.cell, found.weight, age)
+            number,
+            found.zone,
+            _STATES[found.lifecycle],
+            found.version_no,
+            found.host_port,
+            _life(found),
+            self._kinds.get(found.machine_type, 0),
+            found.cell,
+            found.weight,
+            age,
+        )
--- a/otterquay/runtimes/model.py
+++ b/otterquay/runtimes/model.py
@@ -191,9 +191,14 @@
         alike = family in self.families
         near = any(self._figures(kind)) and any(any(self._figures(k)) for k in self.kinds)
         if not (seen or alike or near):
-            return Estimate(UNKNOWN, UNKNOWN, UNKNOWN,
-                            "this kind, its family and its figures are all unknown" if not family else
-                            f"no kind of family {family} was seen, and no figures are known to compare")
+            return Estimate(
+                UNKNOWN,
+                UNKNOWN,
+                UNKNOWN,
+                "this kind, its family and its figures are all unknown"
+                if not family
+                else f"no kind of family {family} was seen, and no figures are known to compare",
+            )
         at = {name: i for i, name in enumerate(self._names)}
         part = np.zeros(len(self._names))
         variance = self.variances["server"] ** 2
@@ -212,6 +217,7 @@
 
 def changed(rows: Sequence[tuple[Key, Row]], newest: int) -> dict[str, float]:
     """Kinds whose newest epochs differ from those before, in most of their classes: by how much, in log."""
+
     def spots(some: Sequence[tuple[Key, Row]]) -> dict[tuple[str, str, int, int], Cell]:
         return {(c.cls, c.kind, c.server, c.build): c for c in cells(some, newest)}
 
@@ -229,7 +235,9 @@
 
 
 def fit(
-    rows: Sequence[tuple[Key, Row]], machines: Mapping[str, Machine], newest: int,
+    rows: Sequence[tuple[Key, Row]],
+    machines: Mapping[str, Machine],
+    newest: int,
 ) -> tuple[Model, dict[str, float]]:
     """A model from rows; of kinds that have changed only what came since counts, and they are named."""
     moved = changed(rows, newest)
--- a/otterquay/runtimes/rows.py
+++ b/otterquay/runtimes/rows.py
@@ -82,8 +82,11 @@
             if sender is not None and key.agent != sender:
                 continue
             held = self.rows.get(key)
-            if (held is None or row.version > held.version) and key.epoch > self.newest - EPOCHS and (
-                    held is not None or len(self.rows) < ROWS_MOST):
+            if (
+                (held is None or row.version > held.version)
+                and key.epoch > self.newest - EPOCHS
+                and (held is not None or len(self.rows) < ROWS_MOST)
+            ):
                 self.rows[key] = row
                 taken += 1
         self.changes += taken
--- a/otterquay/runtimes/shared.py
+++ b/otterquay/runtimes/shared.py
@@ -52,8 +52,9 @@
         """This agent goes on under another life; what it noted stays under the one it was noted in."""
         self.life = life
 
-    def note(self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool,
-             late: bool) -> None:
+    def note(
+        self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool, late: bool
+    ) -> None:
         """An attempt of our own has ended."""
         key = rw.Key(self.me, self.life, self.evidence.newest, cls, kind, server, build)
         self.evidence.note(key, ms, alone, late)
--- a/otterquay/runtimes/sizing.py
+++ b/otterquay/runtimes/sizing.py
@@ -28,7 +28,11 @@
 
 
 def needed(
-    demand: Mapping[str, float], times: Mapping[str, Estimate], cores: float, have: int, sizing: Sizing,
+    demand: Mapping[str, float],
+    times: Mapping[str, Estimate],
+    cores: float,
+    have: int,
+    sizing: Sizing,
 ) -> Need:
     """For so many requests a second by class on servers of one kind with that many cores, of which `have` run.
 
@@ -38,9 +42,11 @@
     busy = sum(rate * times[cls].high / 1e3 for cls, rate in demand.items() if cls not in unknown and rate > 0)
     count = max(math.ceil(busy / (cores * (1.0 - sizing.margin))), sizing.least)
     if unknown:
-        return Need(max(min(count, have) if have else sizing.least, sizing.least),
-                    f"run times of {', '.join(sorted(unknown))} are unknown: no more than the least, to learn from",
-                    False)
+        return Need(
+            max(min(count, have) if have else sizing.least, sizing.least),
+            f"run times of {', '.join(sorted(unknown))} are unknown: no more than the least, to learn from",
+            False,
+        )
     if have and have * (1.0 - sizing.slack) < count <= have:
         return Need(have, "within what runs")
     return Need(count, f"{busy:.2f} of a core's time are asked for")
--- a/otterquay/sites/site.py
+++ b/otterquay/sites/site.py
@@ -104,8 +104,17 @@
 
     @classmethod
     def load(
-        cls, me: int, agents: Sequence[int], rng: random.Random, kept: bytes | None,
-        journal: Journal, now: float, times: Times, back_votes: int, life: int, out: Out,
+        cls,
+        me: int,
+        agents: Sequence[int],
+        rng: random.Random,
+        kept: bytes | None,
+        journal: Journal,
+        now: float,
+        times: Times,
+        back_votes: int,
+        life: int,
+        out: Out,
     ) -> Site:
         """With what the disk holds. msgspec.MsgspecError: it cannot be right."""
         state: Kept = msgspec.msgpack.decode(kept, type=Kept) if kept is not None else Kept(barred=UNKNOWN)
@@ -141,8 +150,9 @@
         return min(self.word_at, self.lead_at if self.role is Role.COORDINATOR else self.elect_at)
 
     # --- the group ---
-    def upstream(self, now: float, newest: Token, allowed: int, settled: int, floor: Token,
-                 closed: Sequence[Token], out: Out) -> None:
+    def upstream(
+        self, now: float, newest: Token, allowed: int, settled: int, floor: Token, closed: Sequence[Token], out: Out
+    ) -> None:
         """The group was heard, directly or through another: its newest grant for this site, and journals it has."""
         if self.lost(now) or self.back_since is None:
             self.back_since = now
@@ -161,8 +171,7 @@
         if self.following == NONE and kept.caps:  # what held in the site alone ends with the cut
             kept.caps = {}
             self._keep(out)
-        if self.role is Role.COORDINATOR and (
-                now - self.back_since >= self.times.back or newest > self.token):
+        if self.role is Role.COORDINATOR and (now - self.back_since >= self.times.back or newest > self.token):
             self.stop(now, "the group is back", out)
         elif self.role in (Role.ASKING, Role.STANDING):
             self._rest(now)
@@ -277,8 +286,7 @@
             kept.newest, kept.voted = self.token, self.me
             self._keep(out)
         self._wait(now)
-        mine = ms.Answer(self.token, pre, True, self.token, kept.allowed, kept.spent, dict(kept.caps),
-                         self.life)
+        mine = ms.Answer(self.token, pre, True, self.token, kept.allowed, kept.spent, dict(kept.caps), self.life)
         self.votes = {self.me: mine}
         for agent in self.agents:
             if agent != self.me:
@@ -288,15 +296,23 @@
 
     def _asked(self, now: float, sender: int, ask: ms.Ask, out: Out) -> None:
         kept = self.kept
-        granted = kept.barred < 0 and self._may_vote(now) and self.role is not Role.COORDINATOR and (
-            ask.token > kept.newest or (not ask.pre and ask.token == kept.newest and kept.voted == sender))
+        granted = (
+            kept.barred < 0
+            and self._may_vote(now)
+            and self.role is not Role.COORDINATOR
+            and (ask.token > kept.newest or (not ask.pre and ask.token == kept.newest and kept.voted == sender))
+        )
         if granted and not ask.pre:
             if ask.token > kept.newest:
                 kept.newest, kept.voted = ask.token, sender
                 self._keep(out)
             self._rest(now)
-        out.send(sender, ms.Answer(ask.token, ask.pre, granted, kept.newest, kept.allowed, kept.spent,
-                                   dict(kept.caps), self.life))
+        out.send(
+            sender,
+            ms.Answer(
+                ask.token, ask.pre, granted, kept.newest, kept.allowed, kept.spent, dict(kept.caps), self.life
+            ),
+        )
 
     def _answered(self, now: float, sender: int, answer: ms.Answer, out: Out) -> None:
         if answer.newest > self.kept.newest and not answer.granted:
@@ -397,8 +413,11 @@
 
     def given_up(self) -> list[int]:
         """Builds that enough agents of the site want back and that still have a cap."""
-        return [b for b, votes in self.ballots.items()
-                if len(votes) >= self.back_votes and self.kept.caps.get(b, 1.0) > 0.0]
+        return [
+            b
+            for b, votes in self.ballots.items()
+            if len(votes) >= self.back_votes and self.kept.caps.get(b, 1.0) > 0.0
+        ]
 
     # --- those who follow ---
     def _lead(self, now: float, sender: int, m: ms.Lead, out: Out) -> None:
--- a/otterquay/standins/appliance.py
+++ b/otterquay/standins/appliance.py
@@ -231,7 +231,11 @@
         if flaw is None:
             return False
         fits = {
-            "errors": True, "wrong": True, "class": cls == flaw.cls, "slow": False, "shared": False,
+            "errors": True,
+            "wrong": True,
+            "class": cls == flaw.cls,
+            "slow": False,
+            "shared": False,
             "load": len(self.running) >= flaw.busy * self.shape.cores,
             "late": now - self.started >= flaw.after_s,
         }[flaw.kind]
--- a/otterquay/standins/chat.py
+++ b/otterquay/standins/chat.py
@@ -92,8 +92,19 @@
             self._drop()
         elif fault == "drop_and_twice":
             self._drop()
-            twin = Chatter(self.number, self.tape, self.rng, self.agents, self.up, self.tenant, (), 0.0, self.at,
-                           token=self.token, open=dict(self.open))
+            twin = Chatter(
+                self.number,
+                self.tape,
+                self.rng,
+                self.agents,
+                self.up,
+                self.tenant,
+                (),
+                0.0,
+                self.at,
+                token=self.token,
+                open=dict(self.open),
+            )
             if self.token and await twin._connect():  # a twin with the same token at the same time
                 asyncio.get_running_loop().call_later(0.1, twin._drop)
                 self._twin = twin.wire
--- a/otterquay/standins/fleet.py
+++ b/otterquay/standins/fleet.py
@@ -127,8 +127,17 @@
             server = self._numbers * 7919 % 100003  # ids tell nothing of order
         self._incarnations += 1
         appliance = Appliance(
-            server, self._incarnations, build, position.zone, position.shape, self.tape, self.rng,
-            self._books[position.zone], self.flaws.get(build), cold, self._drag,
+            server,
+            self._incarnations,
+            build,
+            position.zone,
+            position.shape,
+            self.tape,
+            self.rng,
+            self._books[position.zone],
+            self.flaws.get(build),
+            cold,
+            self._drag,
         )
         address = await appliance.start()
         for zone in self.zones:
@@ -150,9 +159,15 @@
         return self.drag
 
     def _tell(self, position: Position, appliance: Appliance, state: State) -> None:
-        entry = news.Entry(appliance.server, position.zone, state, appliance.build,
-                           appliance.listener.address, appliance.incarnation,
-                           weight=position.shape.cores * position.shape.speed)
+        entry = news.Entry(
+            appliance.server,
+            position.zone,
+            state,
+            appliance.build,
+            appliance.listener.address,
+            appliance.incarnation,
+            weight=position.shape.cores * position.shape.speed,
+        )
         self.list.change(entry, appliance.started if appliance.cold else 0.0)
 
     def drain(self, position: Position, appliance: Appliance, end_after_s: float) -> None:
@@ -184,5 +199,3 @@
         for relay in self._relays.values():
             relay.close()
         self.list.source.close()
-
-
--- a/otterquay/standins/tape.py
+++ b/otterquay/standins/tape.py
@@ -194,8 +194,27 @@
 
 
 Kinds = (
-    AgentUp | AgentDown | Asked | Answered | Surplus | Left | Lost | Arrived | Replied | Ran | Started
-    | ToldServer | ToldStage | Voted | Moved | Stalled | Stood | Severed | Typed | Told | Resumed
+    AgentUp
+    | AgentDown
+    | Asked
+    | Answered
+    | Surplus
+    | Left
+    | Lost
+    | Arrived
+    | Replied
+    | Ran
+    | Started
+    | ToldServer
+    | ToldStage
+    | Voted
+    | Moved
+    | Stalled
+    | Stood
+    | Severed
+    | Typed
+    | Told
+    | Resumed
 )
 
 
--- a/otterquay/store/engine.py
+++ b/otterquay/store/engine.py
@@ -144,8 +144,10 @@
             if not 0 < len(change.table.encode()) <= fm.TABLE_MOST:
                 raise ValueError(f"a table's name takes 1 to {fm.TABLE_MOST} bytes: {change.table[:40]!r}")
             if len(change.key) > fm.KEY_MOST or len(value) > fm.VALUE_MOST:
-                raise ValueError(f"a key of {len(change.key)} bytes and a value of {len(value)}: at most "
-                                 f"{fm.KEY_MOST} and {fm.VALUE_MOST} are taken")
+                raise ValueError(
+                    f"a key of {len(change.key)} bytes and a value of {len(value)}: at most "
+                    f"{fm.KEY_MOST} and {fm.VALUE_MOST} are taken"
+                )
             size += fm.ENTRY_SIZE + fm.TABLE_MOST + len(change.key) + len(value)
         if size > fm.BATCH_MOST:
             raise ValueError(f"a batch of about {size} bytes, at most {fm.BATCH_MOST} are taken")
@@ -185,8 +187,12 @@
         """Commit entries as they are, with their ends of life in store time."""
         for i in range(0, len(entries), MOVE_LOOKS):
             now = self.now()
-            await self.commit([Put(e.table, e.key, e.value or b"", (e.ends - now) / 1e3 if e.ends else None)
-                               for e in entries[i : i + MOVE_LOOKS]])
+            await self.commit(
+                [
+                    Put(e.table, e.key, e.value or b"", (e.ends - now) / 1e3 if e.ends else None)
+                    for e in entries[i : i + MOVE_LOOKS]
+                ]
+            )
 
     def _wake(self) -> None:
         if (self._writer is None or self._writer.done()) and not self.failed:
@@ -200,13 +206,13 @@
             return True
         total = sum(s.size for n, s in self.segments.items() if n >= self.oldest)
         return self.oldest < self.number and total > (
-            self.options.slack * self.index.live + 2 * self.options.segment_bytes)
+            self.options.slack * self.index.live + 2 * self.options.segment_bytes
+        )
 
     async def _write(self) -> None:
         """Write groups, one at a time, and what compaction moves, until there is nothing left to do."""
         try:
-            while not self.failed and (
-                    self._pending or self._behind() or (self._doomed and not self.index.undo)):
+            while not self.failed and (self._pending or self._behind() or (self._doomed and not self.index.undo)):
                 await self._group()
                 if self.failed:
                     break
@@ -254,8 +260,15 @@
                     put = isinstance(change, Put)
                     life = change.life_s if isinstance(change, Put) else None
                     ends = 0 if life is None else max(now + int(life * 1e3), 1)
-                    parts.append(fm.write_entry(number, change.table.encode(), change.key,
-                                                change.value if isinstance(change, Put) else None, ends))
+                    parts.append(
+                        fm.write_entry(
+                            number,
+                            change.table.encode(),
+                            change.key,
+                            change.value if isinstance(change, Put) else None,
+                            ends,
+                        )
+                    )
                     at = place(number, start, len(parts[-1])) if put else None
                     done.append((change.table, change.key, at, ends, False))
                     start += len(parts[-1])
--- a/otterquay/store/files.py
+++ b/otterquay/store/files.py
@@ -162,9 +162,14 @@
     async def _ask(self, line: str) -> None:
         if self._helper is None:
             self._helper = await asyncio.create_subprocess_exec(
-                sys.executable, "-S", str(Path(__file__).with_name("syncer.py")), str(self.folder),
-                stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
-                start_new_session=True)  # a terminal's signals are not for it: it ends with its pipe
+                sys.executable,
+                "-S",
+                str(Path(__file__).with_name("syncer.py")),
+                str(self.folder),
+                stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE,
+                start_new_session=True,
+            )  # a terminal's signals are not for it: it ends with its pipe
         source, sink = self._helper.stdout, self._helper.stdin
         assert source is not None and sink is not None
         try:
--- a/otterquay/store/format.py
+++ b/otterquay/store/format.py
@@ -87,8 +87,12 @@
 def write_entry(number: int, table: bytes, key: bytes, value: bytes | None, ends: int = 0) -> bytes:
     """An entry for the segment of this number."""
     gone = value is None
-    rest = _TAIL.pack(DELETED if gone else 0, len(table), len(key), len(value or b""), ends) + table + key + (
-        value or b"")
+    rest = (
+        _TAIL.pack(DELETED if gone else 0, len(table), len(key), len(value or b""), ends)
+        + table
+        + key
+        + (value or b"")
+    )
     return xxhash.xxh32_digest(rest, number & 0xFFFFFFFF)[::-1] + rest
 
 
@@ -99,8 +103,11 @@
     tag, flags, tables, keys, values, ends = _ENTRY.unpack_from(data, offset)
     at = offset + ENTRY_SIZE
     end = at + tables + keys + values
-    if end > len(data) or flags > DELETED or xxhash.xxh32_intdigest(
-            data[offset + 4 : end], number & 0xFFFFFFFF) != tag:
+    if (
+        end > len(data)
+        or flags > DELETED
+        or xxhash.xxh32_intdigest(data[offset + 4 : end], number & 0xFFFFFFFF) != tag
+    ):
         raise Bad(base + offset, "an entry's tag does not fit")
     table = data[at : at + tables].decode("utf-8", "replace")
     value = None if flags else data[at + tables + keys : end]
--- a/otterquay/store/format1.py
+++ b/otterquay/store/format1.py
@@ -136,8 +136,14 @@
                         held[table, key] = value
                 sequence, good, ended = record.sequence, record.end, ended or record.kind == END
         except Bad as bad:
-            torn = number == logs[-1] and kind == LOG and (
-                later_record(data, bad.offset, number, sequence + 1) is None and (good or len(data) <= HEAD_SIZE))
+            torn = (
+                number == logs[-1]
+                and kind == LOG
+                and (
+                    later_record(data, bad.offset, number, sequence + 1) is None
+                    and (good or len(data) <= HEAD_SIZE)
+                )
+            )
             if not torn:
                 raise Bad(bad.offset, f"{name}: {bad.reason}") from None
         if not ended:
--- a/otterquay/store/hints.py
+++ b/otterquay/store/hints.py
@@ -40,13 +40,22 @@
                         removed.append(key)
                     else:
                         found.append((key, *last))
-                store.files.append(name, fm.write_record(
-                    number, fm.LISTED, sequence, store.time, max(store.clock_at, 0),
-                    fm.write_listing(table, found, removed)))
+                store.files.append(
+                    name,
+                    fm.write_record(
+                        number,
+                        fm.LISTED,
+                        sequence,
+                        store.time,
+                        max(store.clock_at, 0),
+                        fm.write_listing(table, found, removed),
+                    ),
+                )
                 await asyncio.sleep(0)
         closing = fm.write_closing(segment.size, sequence, oldest)
-        store.files.append(name, fm.write_record(
-            number, fm.END, sequence, store.time, max(store.clock_at, 0), closing))
+        store.files.append(
+            name, fm.write_record(number, fm.END, sequence, store.time, max(store.clock_at, 0), closing)
+        )
     except OSError as error:  # the store is as good without it
         store.log.warning("hint_not_written", file=name, reason=str(error))
 
@@ -77,8 +86,9 @@
         return False
     size = store.files.size(segment_name(number))
     if closing.size != size:
-        raise Damaged(segment_name(number), min(size, closing.size),
-                      f"{size} bytes where {closing.size} were closed")
+        raise Damaged(
+            segment_name(number), min(size, closing.size), f"{size} bytes where {closing.size} were closed"
+        )
     begins(store, number, first)
     for listing, at in found:
         store.index.load(listing.table, number, listing.keys, at, listing.ends, listing.removed)
--- a/otterquay/store/index.py
+++ b/otterquay/store/index.py
@@ -120,8 +120,15 @@
                 went += 1
         return went
 
-    def load(self, name: str, segment: int, keys: list[bytes], places: Iterable[int], ends: list[tuple[int, int]],
-             removed: list[bytes]) -> None:
+    def load(
+        self,
+        name: str,
+        segment: int,
+        keys: list[bytes],
+        places: Iterable[int],
+        ends: list[tuple[int, int]],
+        removed: list[bytes],
+    ) -> None:
         """The last places of many keys in one segment, as a hint has them; `settle` counts what is alive."""
         table = self.tables.setdefault(name, Table())
         base = segment << 64
--- a/otterquay/store/recovery.py
+++ b/otterquay/store/recovery.py
@@ -28,7 +28,11 @@
 
 
 async def open_store(
-    files: Files, log: Logger, clock: Callable[[], float], options: Options | None = None, look: bool = False,
+    files: Files,
+    log: Logger,
+    clock: Callable[[], float],
+    options: Options | None = None,
+    look: bool = False,
     hints: bool = True,
 ) -> Store:
     """Recover what is there, or begin. `clock` is in seconds and may start anywhere; it ends lives of entries.
--- a/tests/crossings/audit.py
+++ b/tests/crossings/audit.py
@@ -75,7 +75,7 @@
         `owed` an answer must have it. Others may have crossed a close: clients send them again."""
         if len(got) > len(asked):
             self.broken.append(f"{len(got)} answers to {len(asked)} commands")
-        if missing := [id.decode() for id in asked[len(got):] if id in owed]:
+        if missing := [id.decode() for id in asked[len(got) :] if id in owed]:
             self.broken.append(f"no answer to {missing}")
         for id, answer in zip(asked, got, strict=False):
             if not answer.startswith(b"-") and answer != b"for " + id:
--- a/tests/crossings/test_feeds.py
+++ b/tests/crossings/test_feeds.py
@@ -36,6 +36,7 @@
             await asyncio.sleep(0.05)
             assert (old.desk.opened, new.desk.opened) == (desks[0], desks[1] + 1)
             node.close()
+
     run(work)
 
 
@@ -54,6 +55,7 @@
             old.node.platform.vote(it.CastVote(1, 0, it.Verdict.ON), ended.append)
             await old.until(lambda: len(ended) == 2)
             assert ended[1].status is it.Status.OK and len(new.desk.votes) == 1 == len(old.desk.votes)
+
     run(work)
 
 
@@ -66,6 +68,7 @@
             assert not said
             rig.node.move(rig.config(name="n9", limits={"sockets": 128}))
             assert said == [{"event": "reload_fields_ignored", "fields": "name, sockets"}]
+
     run(work)
 
 
@@ -83,7 +86,7 @@
                 body = rig.discovery.listing(None)
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n" % len(body))
                 for at in range(0, len(body), 1 + len(body) // 8):
-                    writer.write(body[at:at + 1 + len(body) // 8])
+                    writer.write(body[at : at + 1 + len(body) // 8])
                     await asyncio.sleep(0.03)
                 await asyncio.Event().wait()
 
@@ -93,6 +96,7 @@
                 writer.close()
             await rig.until(lambda: len(rig.seen(it.ServerList)) > before)
             assert tries > 1 and len(rig.node.list.entries) == 1
+
     run(work)
 
 
@@ -108,6 +112,7 @@
             assert rig.discovery.opened > opened + 2
             rig.discovery.set("s-0", lifecycle="terminating")
             await rig.until(lambda: rig.seen(it.ServerList)[-1].entries[0].state is it.ServerState.DRAINING)
+
     run(work)
 
 
@@ -125,4 +130,5 @@
             assert said == ["discovery_broken content over 1000 bytes"] and rig.node.list.entries == held
             assert await rig.say(rig.ask(id="one")) == b"for one", "nobody else is disturbed"
             await rig.until(lambda: rig.discovery.opened > opened)
+
     run(work)
