--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -294,7 +294,7 @@
     drive = offered(stage=1, cap=0.5, trials=6)
     row = drive.agent.none[:]
     for cls in range(3):
-        row[4 * cls:4 * cls + 4] = [30.0, 0.0, 90.0, 0.0]
+        row[4 * cls : 4 * cls + 4] = [30.0, 0.0, 90.0, 0.0]
     row[-4:] = [5.0, 0.0, 90.0, 0.0]  # five warm latencies of the trial, ninety of the earlier build
     trial, earlier = ([s for s in drive.agent.servers.values() if s.entry.build == b] for b in (2, 1))
     drive.agent.pools["own", 40] = row
