--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -22,7 +22,7 @@
 from otterquay import interface as it
 from otterquay.agent.feeds import FleetBook
 from otterquay.config.load import load_service
-from otterquay.config.translate import module_settings
+from otterquay.config.translate import decision_settings
 from otterquay.policy.agent import Agent
 from otterquay.protocol.targets import TargetReader
 
@@ -37,7 +37,7 @@
     def __init__(self, size: int) -> None:
         service = load_service(EXAMPLE)
         self.zones, self.size, self.now = service.zones, size, 1e6
-        settings = replace(module_settings(service), agents=size)
+        settings = replace(decision_settings(service), agents=size)
         self.agent, self.timers = Agent(settings, 1), list[tuple[float, int, int]]()
         self.reader, self.book, self._order = TargetReader(["std"]), FleetBook(service.zones), itertools.count()
         self.sent: list[it.Send] = []
--- a/otterquay/__init__.py
+++ b/otterquay/__init__.py
@@ -1,1 +1,1 @@
-"""otterquay: a release controller and the router that moves traffic from one build to another."""
+"""otterquay: a release controller, and a router that shifts traffic from one build to another."""
--- a/otterquay/agent/web.py
+++ b/otterquay/agent/web.py
@@ -22,7 +22,7 @@
 from otterquay.chat.gateway import Gateway
 from otterquay.chat.hub import News
 from otterquay.config.schema import Service
-from otterquay.config.translate import module_settings
+from otterquay.config.translate import decision_settings
 from otterquay.logs import Logger
 from otterquay.policy.agent import Agent
 from otterquay.protocol import news, orca
@@ -222,7 +222,7 @@
         decider: Callable[[it.Settings, int], Decider] = Agent,
         chat_key: bytes | None = None,
     ) -> None:
-        settings, limits, back = module_settings(service), service.limits, service.back
+        settings, limits, back = decision_settings(service), service.limits, service.back
         speech = HttpSpeech(service.agent.number, settings.report_fields, back.max_head, back.max_answer)
         pool = Pool(limits.connect_timeout / 1e3, limits.keepalive / 1e3, speech, log)
         super().__init__(settings, pool, rng, log, decider)
--- a/otterquay/benchlink/__init__.py
+++ b/otterquay/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire on one side, the decision module on the other; translates, never decides."""
+"""Adapter between the bench's wire protocol and the decision module; translates messages and decides nothing."""
--- a/otterquay/benchlink/__main__.py
+++ b/otterquay/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Reads batches on standard input, feeds each instance its own events and writes one reply a batch."""
+"""Reads batches from standard input, passes each instance its events and writes one reply per batch."""
 
 from __future__ import annotations
 
@@ -10,60 +10,64 @@
 from otterquay.policy.agent import Agent
 
 
-def _read(stream: BinaryIO, size: int) -> bytes:
+def _read_exactly(stream: BinaryIO, size: int) -> bytes:
     data = stream.read(size)
     if len(data) != size:
-        raise wire.WireError("the input ends inside a frame")
+        raise wire.WireError("the input ends in the middle of a frame")
     return data
 
 
-class Host:
-    """The instances of one process; they share nothing but the numbered lists of the wire."""
+class InstanceHost:
+    """The agent instances of one process; they share only the numbered server lists of the wire."""
 
     def __init__(self) -> None:
         self._decoder = wire.Decoder()
         self._agents: dict[int, Agent] = {}
 
-    def answer(self, now: float, count: int, body: bytes) -> bytes:
-        """The reply to one batch."""
+    def process_batch(self, now: float, count: int, body: bytes) -> bytes:
+        """Pass the records of a batch to their instances and return the reply frame."""
         records: list[bytes] = []
-        for number, record in self._decoder.batch(count, body):
+        for instance, record in self._decoder.decode_batch(count, body):
             if isinstance(record, wire.Provision):
-                config = settings.decode(record.settings_text)
-                self._agents[number] = Agent(config, record.seed)
+                config = settings.decode_settings(record.settings_text)
+                self._agents[instance] = Agent(config, record.seed)
                 event: it.Event = it.Started()
-            elif number not in self._agents:
-                raise wire.WireError(f"an event for instance {number}, which does not run")
+            elif instance not in self._agents:
+                raise wire.WireError(f"event for instance {instance}, which is not running")
             elif isinstance(record, wire.Destroy):
-                del self._agents[number]
+                del self._agents[instance]
                 continue
             else:
                 event = record
             try:
-                actions = self._agents[number].handle(now, event)
-            except Exception as error:  # the decisions failed: say so on the wire
-                records.append(wire.encode(number, wire.Die(f"{type(error).__name__}: {error}")))
+                actions = self._agents[instance].handle(now, event)
+            except Exception as error:  # reported to the bench as a record; the process keeps running
+                records.append(wire.encode(instance, wire.DecisionFailure(f"{type(error).__name__}: {error}")))
                 continue
-            records.extend(wire.encode(number, action) for action in actions)
-        return wire.reply(records)
+            records.extend(wire.encode(instance, action) for action in actions)
+        return wire.encode_reply(records)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends between two frames."""
-    host = Host()
+    """Reply to batches until the input ends at a frame boundary."""
+    instance_host = InstanceHost()
     while True:
         header = source.read(wire.BATCH_HEADER.size)
         if not header:
             return
         if len(header) != wire.BATCH_HEADER.size:
-            raise wire.WireError("the input ends inside a frame")
+            raise wire.WireError("the input ends in the middle of a frame")
         now, size, count = wire.BATCH_HEADER.unpack(header)
-        sink.write(host.answer(now, count, _read(source, size)))
+        sink.write(instance_host.process_batch(now, count, _read_exactly(source, size)))
         sink.flush()
 
 
 def main() -> int:
-    """Exit 0 at the end of input, 2 with one line on standard error for malformed input."""
+    """Serve standard input and return the exit code.
+
+    0 at the end of input, 1 when the reader of the replies has gone, 2 with one line on standard error for
+    malformed input.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/otterquay/benchlink/settings.py
+++ b/otterquay/benchlink/settings.py
@@ -1,4 +1,4 @@
-"""Decodes a starting instance's settings; unknown keys are passed over, absent ones get neutral values."""
+"""Decodes the settings of a starting instance; ignores unknown keys and gives missing ones neutral defaults."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 _EFFECT = {"idempotent": it.Effect.SAFE, "deduplicated": it.Effect.KEYED, "at_most_once": it.Effect.UNSAFE}
 _CONTROL = {"first_voice": it.Control.ANY, "by_count": it.Control.SHARE, "automatic": it.Control.TIMER}
-_SWAP = {"parallel": it.Replacement.BESIDE, "replace": it.Replacement.IN_PLACE}
+_REPLACEMENT = {"parallel": it.Replacement.BESIDE, "replace": it.Replacement.IN_PLACE}
 _DISCOVERY = {"automatic": it.Discovery.PUSH, "subscribe": it.Discovery.ASK}
-_FIELD = {
+_LOAD_FIELD = {
     "busy_reqs": it.LoadField.INFLIGHT,
     "pending": it.LoadField.QUEUE,
     "cpu_share": it.LoadField.UTIL,
@@ -23,23 +23,23 @@
 Json = dict[str, Any]
 
 
-def _part(data: Json, key: str) -> Json:
+def _section(data: Json, key: str) -> Json:
     value = data.get(key)
     return value if isinstance(value, dict) else {}
 
 
-def _word(table: dict[str, Any], data: Json, key: str, default: str) -> Any:
-    word = data.get(key, default)
-    if word not in table:
-        raise WireError(f"settings: unknown {key} {word!r}")
-    return table[word]
+def _enum_value(table: dict[str, Any], data: Json, key: str, default: str) -> Any:
+    label = data.get(key, default)
+    if label not in table:
+        raise WireError(f"settings: {key}: unknown value {label!r}")
+    return table[label]
 
 
-def _class(data: Json) -> it.RequestClass:
+def _request_class(data: Json) -> it.RequestClass:
     deadline = float(data["deadlineMs"])
     return it.RequestClass(
         name=str(data.get("name", "")),
-        effect=_word(_EFFECT, data, "effect", "at_most_once"),
+        effect=_enum_value(_EFFECT, data, "effect", "at_most_once"),
         scope=it.Scope(data.get("dedupScope", "cell")),
         repeat_window_ms=float(data.get("repeatWindowMs", 0.0)),
         aim_ms=float(data.get("onTimeMs", deadline)),
@@ -80,8 +80,8 @@
 def _rollout(data: Json) -> it.Rollout:
     shares = tuple(float(x) for x in data.get("stageShare", [1.0]))
     return it.Rollout(
-        control=_word(_CONTROL, data, "control", "first_voice"),
-        replacement=_word(_SWAP, data, "swap", "parallel"),
+        control=_enum_value(_CONTROL, data, "control", "first_voice"),
+        replacement=_enum_value(_REPLACEMENT, data, "swap", "parallel"),
         on_votes=int(data.get("ayesNeeded", 1)),
         back_votes=int(data.get("votesToRevert", 1)),
         hold_votes=int(data.get("votesToHold", 0)),
@@ -106,27 +106,27 @@
     )
 
 
-def _check(settings: it.Settings) -> None:
-    """Refuse at start what contradicts itself, before a day is spent on it."""
+def _validate(settings: it.Settings) -> None:
+    """Reject contradictory settings at start, before a run is spent on them."""
     rollout = settings.rollout
     if not settings.classes:
-        raise WireError("settings: no request classes")
+        raise WireError("settings: requestClasses is empty")
     if len(rollout.stage_share) != len(rollout.stage_cap) or not rollout.stage_cap:
-        raise WireError("settings: stages and caps differ in number")
+        raise WireError("settings: stageShare and caps must be non-empty and of the same length")
     if settings.agents < 1 or not 0 <= settings.me < settings.agents:
-        raise WireError("settings: own number is outside the group")
+        raise WireError("settings: myNumber must be at least 0 and less than groupSize")
     for cls in settings.classes:
         if cls.deadline_ms <= 0 or cls.aim_ms <= 0:
-            raise WireError(f"settings: class {cls.name!r} has no time to be served")
+            raise WireError(f"settings: class {cls.name!r}: deadlineMs and onTimeMs must be greater than 0")
 
 
-def decode(text: bytes) -> it.Settings:
-    """Settings from their JSON text, or a WireError that says what is wrong."""
+def decode_settings(text: bytes) -> it.Settings:
+    """Decode settings from JSON text; raises WireError naming the problem."""
     try:
         data = json.loads(text)
         if not isinstance(data, dict):
-            raise WireError("settings: not an object")
-        report = _part(data, "loadReport")
+            raise WireError("settings: must be a JSON object")
+        report = _section(data, "loadReport")
         source = report.get("source", "none")
         tenants = tuple(
             it.Tenant(str(t.get("name", "")), float(t.get("quotaPerS", 0.0)), float(t.get("share", 0.0)))
@@ -137,23 +137,23 @@
             me=int(data.get("myNumber", 0)),
             zone=int(data.get("zone", 0)),
             zones=max(1, len(data.get("localities") or [])),
-            classes=tuple(_class(c) for c in data["requestClasses"]),
+            classes=tuple(_request_class(c) for c in data["requestClasses"]),
             tenants=tenants,
             over_share_worth=float(data.get("overShareWorth", 1.0)),
             worth_by_work=data.get("valueBy") == "work",
-            clients_mark_retries=bool(_part(data, "clientHabits").get("marksRetry", False)),
+            clients_mark_retries=bool(_section(data, "clientHabits").get("marksRetry", False)),
             tick_ms=float(data.get("tickMs", 0.0)),
-            discovery=_word(_DISCOVERY, data, "discovery", "automatic"),
-            report_fields=tuple(_FIELD.get(n, it.LoadField.OTHER) for n in report.get("names") or []),
+            discovery=_enum_value(_DISCOVERY, data, "discovery", "automatic"),
+            report_fields=tuple(_LOAD_FIELD.get(n, it.LoadField.OTHER) for n in report.get("names") or []),
             reports_in_answers=source == "answers",
-            cross_zone_price=float(_part(data, "charges").get("crossZone", 0.0)),
-            limits=_limits(_part(data, "limits")),
-            rules=_rules(_part(data, "rules")),
-            rollout=_rollout(_part(data, "familyInfo")),
+            cross_zone_price=float(_section(data, "charges").get("crossZone", 0.0)),
+            limits=_limits(_section(data, "limits")),
+            rules=_rules(_section(data, "rules")),
+            rollout=_rollout(_section(data, "familyInfo")),
         )
     except WireError:
         raise
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise WireError(f"settings: {type(error).__name__}: {error}") from None
-    _check(settings)
+    _validate(settings)
     return settings
--- a/otterquay/benchlink/wire.py
+++ b/otterquay/benchlink/wire.py
@@ -1,4 +1,4 @@
-"""Codec of the bench's wire: little-endian frames of packed records, to and from our own types."""
+"""Codec of the bench's wire protocol: little-endian frames of packed records, to and from interface types."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class WireError(Exception):
-    """The input is not what the wire allows."""
+    """The input violates the wire protocol."""
 
 
 @dataclass(frozen=True, slots=True)
 class Provision:
-    """An instance starts."""
+    """Starts an instance with a seed and its settings as JSON."""
 
     seed: int
     settings_text: bytes
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Destroy:
-    """An instance is dead."""
+    """Ends an instance; its state is discarded."""
 
 
 @dataclass(frozen=True, slots=True)
-class Die:
-    """The decision code failed."""
+class DecisionFailure:
+    """Reports that the decision code of an instance raised an exception."""
 
     text: str
 
 
 BATCH_HEADER = struct.Struct("<dII")
 REPLY_HEADER = struct.Struct("<II")
-ENTRY = struct.Struct("<IBBHBfdf")
-EVERY_PEER = 0xFFFF
-TEXT_MOST = 0xFFFF
+LIST_ENTRY = struct.Struct("<IBBHBfdf")
+ALL_PEERS = 0xFFFF
+MAX_TEXT_BYTES = 0xFFFF
 
 STATUS = {
     0: it.Status.OK,
@@ -56,148 +56,151 @@
 VERDICT = {it.Verdict.NONE: 0, it.Verdict.ON: 1, it.Verdict.HOLD: 2, it.Verdict.BACK: 3}
 
 _PROVISION = struct.Struct("<HQI")
-_UPDATE = struct.Struct("<HBQH")
-_ASK = struct.Struct("<HQHIQddB")
-_BEGUN = struct.Struct("<HQHId")
+_LIST_UPDATE = struct.Struct("<HBQH")
+_REQUEST = struct.Struct("<HQHIQddB")
+_ANSWER_BEGUN = struct.Struct("<HQHId")
 _OUTCOME = struct.Struct("<HQIdBHHB")
-_ID = struct.Struct("<HQ")
-_STATUS_BACK = struct.Struct("<HIHdB")
-_NOTE = struct.Struct("<HIH")
-_AGENT = struct.Struct("<H")
-_RELEASE = struct.Struct("<HHBBBHfd")
-_PLATFORM = struct.Struct("<HIIHHdd")
-_WRONG = struct.Struct("<HHdI")
-_LIST = struct.Struct("<HI")
+_AGENT_AND_ID = struct.Struct("<HQ")
+_PROBE_RESULT = struct.Struct("<HIHdB")
+_PEER_MESSAGE = struct.Struct("<HIH")
+_AGENT_ONLY = struct.Struct("<H")
+_STAGE_NEWS = struct.Struct("<HHBBBHfd")
+_TALLY = struct.Struct("<HIIHHdd")
+_COMPLAINT = struct.Struct("<HHdI")
+_LIST_HEADER = struct.Struct("<HI")
 
 Record = it.Event | Provision | Destroy
 
 
-class _Cursor:
-    """Walks the body of one batch and refuses to read past its end."""
+class _Reader:
+    """Reads the body of one batch in order; raises WireError instead of reading past its end."""
 
     def __init__(self, body: bytes) -> None:
         self.body = body
-        self.at = 0
+        self.offset = 0
 
-    def take(self, form: struct.Struct) -> tuple[int, ...]:
-        end = self.at + form.size
+    def read_struct(self, record_format: struct.Struct) -> tuple[int, ...]:
+        end = self.offset + record_format.size
         if end > len(self.body):
-            raise WireError("a record runs past the end of its batch")
-        values = form.unpack_from(self.body, self.at)
-        self.at = end
+            raise WireError("a record extends beyond the end of its batch")
+        values = record_format.unpack_from(self.body, self.offset)
+        self.offset = end
         return values
 
-    def raw(self, size: int) -> bytes:
-        end = self.at + size
+    def read_bytes(self, size: int) -> bytes:
+        end = self.offset + size
         if end > len(self.body):
-            raise WireError("a record runs past the end of its batch")
-        piece = self.body[self.at : end]
-        self.at = end
-        return piece
+            raise WireError("a record extends beyond the end of its batch")
+        chunk = self.body[self.offset : end]
+        self.offset = end
+        return chunk
 
-    def floats(self, count: int) -> tuple[float, ...]:
-        return struct.unpack(f"<{count}f", self.raw(4 * count))
+    def read_floats(self, count: int) -> tuple[float, ...]:
+        return struct.unpack(f"<{count}f", self.read_bytes(4 * count))
 
 
 T = TypeVar("T")
 
 
-def _known(table: dict[int, T], code: int, what: str) -> T:
+def _lookup(table: dict[int, T], code: int, description: str) -> T:
     try:
         return table[code]
     except KeyError:
-        raise WireError(f"unknown {what} {code}") from None
+        raise WireError(f"unknown {description} {code}") from None
 
 
 def _status(code: int) -> it.Status:
-    return _known(STATUS, code, "outcome")
+    return _lookup(STATUS, code, "outcome")
 
 
 class Decoder:
-    """Turns batches into events; holds the numbered server lists, which belong to the whole process."""
+    """Decodes batches into events; keeps the numbered server lists, which all instances of the process share."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[it.ServerEntry, ...]] = {}
 
-    def batch(self, count: int, body: bytes) -> Iterator[tuple[int, Record]]:
-        """Yield (instance, record) in order; lists are resolved as they come."""
-        cursor = _Cursor(body)
+    def decode_batch(self, count: int, body: bytes) -> Iterator[tuple[int, Record]]:
+        """Yield (instance, record) in order.
+
+        Each list number refers to the list that it had at that point of the batch, as numbers are reused.
+        """
+        reader = _Reader(body)
         for _ in range(count):
-            code = cursor.raw(1)[0]
+            code = reader.read_bytes(1)[0]
             if code == 13:
-                self._define(cursor)
+                self._store_server_list(reader)
             else:
-                yield self._record(code, cursor)
-        if cursor.at != len(body):
-            raise WireError("a batch is longer than its records")
+                yield self._record(code, reader)
+        if reader.offset != len(body):
+            raise WireError("the batch body is longer than its records")
 
-    def _define(self, cursor: _Cursor) -> None:
-        bank, count = cursor.take(_LIST)
+    def _store_server_list(self, reader: _Reader) -> None:
+        list_number, count = reader.read_struct(_LIST_HEADER)
         entries = []
-        for server, zone, kind, cell, state, weight, started, build in ENTRY.iter_unpack(
-            cursor.raw(count * ENTRY.size)
+        for server, zone, kind, cell, state, weight, started, build in LIST_ENTRY.iter_unpack(
+            reader.read_bytes(count * LIST_ENTRY.size)
         ):
-            known = _known(SERVER_STATE, state, "server state")
-            entries.append(it.ServerEntry(server, zone, kind, cell, known, weight, started, int(build)))
-        self._lists[bank] = tuple(entries)
+            server_state = _lookup(SERVER_STATE, state, "server state")
+            entries.append(it.ServerEntry(server, zone, kind, cell, server_state, weight, started, int(build)))
+        self._lists[list_number] = tuple(entries)
 
-    def _record(self, code: int, cursor: _Cursor) -> tuple[int, Record]:
+    def _record(self, code: int, reader: _Reader) -> tuple[int, Record]:
         if code == 4:
-            agent, request, server, rtt, over, attempt, status, n = cursor.take(_OUTCOME)
-            load = cursor.floats(n)
+            agent, request, server, rtt, over, attempt, status, load_count = reader.read_struct(_OUTCOME)
+            load = reader.read_floats(load_count)
             return agent, it.Outcome(request, server, attempt, _status(status), rtt, bool(over), load)
         if code == 2:
-            agent, request, cls, tenant, key, budget, hint, bits = cursor.take(_ASK)
+            agent, request, cls, tenant, key, budget, hint, flags = reader.read_struct(_REQUEST)
             return agent, it.Request(
-                request, cls, tenant, key, budget, hint, bool(bits & 1), bool(bits & 2), bool(bits & 4)
+                request, cls, tenant, key, budget, hint, bool(flags & 1), bool(flags & 2), bool(flags & 4)
             )
         if code == 6:
-            agent, token = cursor.take(_ID)
+            agent, token = reader.read_struct(_AGENT_AND_ID)
             return agent, it.TimerFired(token)
         if code == 0:
-            agent, seed, size = cursor.take(_PROVISION)
-            return agent, Provision(seed, cursor.raw(size))
+            agent, seed, size = reader.read_struct(_PROVISION)
+            return agent, Provision(seed, reader.read_bytes(size))
         if code == 1:
-            agent, how, version, bank = cursor.take(_UPDATE)
-            kind = _known(LIST_KIND, how, "list kind")
+            agent, kind_code, version, list_number = reader.read_struct(_LIST_UPDATE)
+            kind = _lookup(LIST_KIND, kind_code, "list kind")
             if kind is it.ListKind.FAILED:
                 return agent, it.ServerList(kind, version, ())
-            return agent, it.ServerList(kind, version, _known(self._lists, bank, "list number"))
+            return agent, it.ServerList(kind, version, _lookup(self._lists, list_number, "list number"))
         if code == 3:
-            agent, request, attempt, server, rtt = cursor.take(_BEGUN)
+            agent, request, attempt, server, rtt = reader.read_struct(_ANSWER_BEGUN)
             return agent, it.Begun(request, attempt, server, rtt)
         if code == 5:
-            agent, request = cursor.take(_ID)
+            agent, request = reader.read_struct(_AGENT_AND_ID)
             return agent, it.Abandoned(request)
         if code == 7:
-            agent, server, status, rtt, n = cursor.take(_STATUS_BACK)
-            return agent, it.ProbeResult(server, _status(status), rtt, cursor.floats(n))
+            agent, server, status, rtt, load_count = reader.read_struct(_PROBE_RESULT)
+            return agent, it.ProbeResult(server, _status(status), rtt, reader.read_floats(load_count))
         if code == 8:
-            agent, sender, size = cursor.take(_NOTE)
-            return agent, it.PeerMessage(sender, cursor.raw(size))
+            agent, sender, size = reader.read_struct(_PEER_MESSAGE)
+            return agent, it.PeerMessage(sender, reader.read_bytes(size))
         if code == 9:
-            (agent,) = cursor.take(_AGENT)
+            (agent,) = reader.read_struct(_AGENT_ONLY)
             return agent, Destroy()
         if code == 10:
-            agent, build, stage, phase, asked, status, cap, age = cursor.take(_RELEASE)
-            where = _known(PHASE, phase, "phase")
-            return agent, it.StageNews(build, stage, where, bool(asked), _status(status), cap, age)
+            agent, build, stage, phase, answers_vote, status, cap, age = reader.read_struct(_STAGE_NEWS)
+            phase_value = _lookup(PHASE, phase, "phase")
+            return agent, it.StageNews(build, stage, phase_value, bool(answers_vote), _status(status), cap, age)
         if code == 11:
-            agent, failures, attempts, cls, build, age, mean = cursor.take(_PLATFORM)
+            agent, failures, attempts, cls, build, age, mean = reader.read_struct(_TALLY)
             return agent, it.Tally(build, cls, attempts, failures, mean, age)
         if code == 12:
-            agent, cls, age, server = cursor.take(_WRONG)
+            agent, cls, age, server = reader.read_struct(_COMPLAINT)
             return agent, it.Complaint(cls, server, age)
         raise WireError(f"unknown event code {code}")
 
 
-def _text(words: bytes) -> bytes:
-    words = words[:TEXT_MOST]
-    return struct.pack("<H", len(words)) + words
+def _length_prefixed(payload: bytes) -> bytes:
+    payload = payload[:MAX_TEXT_BYTES]
+    return struct.pack("<H", len(payload)) + payload
 
 
-def encode(agent: int, action: it.Action | Die) -> bytes:
-    """Write one action as a record."""
+def encode(agent: int, action: it.Action | DecisionFailure) -> bytes:
+    """Encode one action as a record."""
     match action:
         case it.Send(request, server, until):
             return struct.pack("<BHQdI", 6, agent, request, until, server)
@@ -214,7 +217,7 @@
         case it.CloseIdle(server):
             return struct.pack("<BHI", 0, agent, server)
         case it.TellPeers(to, data):
-            return struct.pack("<BHH", 9, agent, EVERY_PEER if to is None else to) + _text(data)
+            return struct.pack("<BHH", 9, agent, ALL_PEERS if to is None else to) + _length_prefixed(data)
         case it.CastVote(build, stage, verdict):
             return struct.pack("<BHHBB", 11, agent, build, VERDICT[verdict], stage)
         case it.FetchList():
@@ -222,13 +225,13 @@
         case it.Watch(on):
             return struct.pack("<BHB", 8, agent, int(on))
         case it.Log(text):
-            return struct.pack("<BH", 4, agent) + _text(text.encode())
-        case Die(text):
-            return struct.pack("<BH", 3, agent) + _text(text.encode())
-    raise TypeError(f"no record for {action!r}")
+            return struct.pack("<BH", 4, agent) + _length_prefixed(text.encode())
+        case DecisionFailure(text):
+            return struct.pack("<BH", 3, agent) + _length_prefixed(text.encode())
+    raise TypeError(f"no record type for action {action!r}")
 
 
-def reply(records: list[bytes]) -> bytes:
-    """One reply frame: header, then the records."""
+def encode_reply(records: list[bytes]) -> bytes:
+    """Build a reply frame: header, then the records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body)) + body
--- a/otterquay/cli/__init__.py
+++ b/otterquay/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line, on click."""
+"""The command line interface, built with click."""
 
 from otterquay.cli.root import main
 
--- a/otterquay/cli/chat.py
+++ b/otterquay/cli/chat.py
@@ -1,4 +1,4 @@
-"""`otterquay chat URL`: a chat client for hands, and proofs for operators."""
+"""`otterquay chat URL`: an interactive chat client for players and operators."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from otterquay.chat.gateway import Wire, dial
 from otterquay.chat.tokens import proof
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
-async def _talk(address: str, name: str, tenant: str, operator: bool, key: bytes | None) -> None:
+async def _run_session(address: str, name: str, tenant: str, operator: bool, key: bytes | None) -> None:
     wire = await dial(address)
     lines = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
@@ -24,50 +24,50 @@
     def send(**message: object) -> None:
         wire.send(msgspec.json.encode(message))
 
-    async def hear(wire: Wire) -> None:
+    async def receive_messages(wire: Wire) -> None:
         while True:
             for text in wire.messages():
                 message = msgspec.json.decode(text)
-                kind = message.pop("type")
-                if kind == "challenge":
+                message_type = message.pop("type")
+                if message_type == "challenge":
                     role = "operator" if operator else "player"
-                    shown = proof(key, message["nonce"], role, tenant, name) if key else ""  # type: ignore[arg-type]
-                    send(type="hello", name=name, tenant=tenant, role=role, proof=shown)
-                elif kind == "welcome":
+                    proof_hex = proof(key, message["nonce"], role, tenant, name) if key else ""  # type: ignore[arg-type]
+                    send(type="hello", name=name, tenant=tenant, role=role, proof=proof_hex)
+                elif message_type == "welcome":
                     click.echo("welcome; type a command, such as /lobby")
                 else:
-                    click.echo(f"{kind}: " + " ".join(f"{k}={v}" for k, v in message.items()))
-                    if kind == "answer":
+                    click.echo(f"{message_type}: " + " ".join(f"{k}={v}" for k, v in message.items()))
+                    if message_type == "answer":
                         send(type="ack", id=message["id"])
             if not await wire.receive():
                 click.echo(f"closed: {wire.protocol.close_code} {wire.protocol.close_reason or ''}")
                 return
             wire.flush()
 
-    async def type_() -> None:
+    async def send_typed_lines() -> None:
         number = 0
         while line := (await lines.readline()).decode("utf-8", "replace").strip():
             number += 1
             send(type="command", id=f"typed-{number}", text=line)
-        await asyncio.sleep(1.0)  # the last answers
+        await asyncio.sleep(1.0)  # time for the last answers
         wire.close(1000, "")
 
-    hearing, typing = asyncio.create_task(hear(wire)), asyncio.create_task(type_())
-    await hearing
-    typing.cancel()
+    receiver, sender = asyncio.create_task(receive_messages(wire)), asyncio.create_task(send_typed_lines())
+    await receiver
+    sender.cancel()
 
 
 @click.command()
 @click.argument("url")
 @click.option("--name", default="player", show_default=True)
-@click.option("--tenant", default="", help="The tenant to speak for.")
-@click.option("--operator", is_flag=True, help="Speak as an operator: /status, /votes, /follow; needs --key.")
-@click.option("--key", "key_file", type=FILE, help="File with the chat key, 64 hex digits.")
+@click.option("--tenant", default="", help="Tenant of the session.")
+@click.option("--operator", is_flag=True, help="Connect as an operator: /status, /votes, /follow; needs --key.")
+@click.option("--key", "key_file", type=EXISTING_FILE, help="File with the chat key, 64 hex digits.")
 def chat(url: str, name: str, tenant: str, operator: bool, key_file: Path | None) -> None:
-    """Talk to the gateway at URL, ws://HOST:PORT, by hand; an empty line or end of input ends it."""
+    """Chat interactively with the gateway at URL, ws://HOST:PORT; an empty line or the end of input closes it."""
     key = bytes.fromhex(key_file.read_text().strip()) if key_file else None
     address = urlsplit(url).netloc or url
     try:
-        asyncio.run(_talk(address, name, tenant, operator, key))
+        asyncio.run(_run_session(address, name, tenant, operator, key))
     except OSError as error:
         raise click.ClickException(str(error)) from None
--- a/otterquay/cli/cluster.py
+++ b/otterquay/cli/cluster.py
@@ -1,4 +1,4 @@
-"""`otterquay lab cluster`: processes of the program with faults between them."""
+"""`otterquay lab cluster`: plays a scripted day on a cluster of agent processes with injected faults."""
 
 from __future__ import annotations
 
@@ -16,15 +16,21 @@
 from otterquay.lab.cluster.day import load_cluster_day
 from otterquay.lab.cluster.play import Result, play
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.command("cluster")
-@click.argument("day", type=FILE)
+@click.argument("day", type=EXISTING_FILE)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--processes", type=click.IntRange(4, 60), help="Agents in all, in place of the day's: shared out.")
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Keep all files there.")
-@click.option("--settings", type=FILE, help="The agents' settings, in place of agent.hcl beside the day.")
+@click.option(
+    "--processes",
+    type=click.IntRange(4, 60),
+    help="Total number of agents, spread over the sites, in place of the day's.",
+)
+@click.option(
+    "--out", type=click.Path(file_okay=False, path_type=Path), help="Folder in which to keep all files of the run."
+)
+@click.option("--settings", type=EXISTING_FILE, help="The agents' settings, in place of agent.hcl beside the day.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def cluster(
     day: Path,
@@ -34,22 +40,23 @@
     settings: Path | None,
     as_json: bool,
 ) -> None:
-    """Play a cluster DAY; exit 1 when anything happened that must not, or the fleet did not come to rest."""
+    """Play a cluster DAY; exit 1 on any violation, or when the fleet did not come to rest."""
     try:
         plan = load_cluster_day(day)
     except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     if processes:
-        share = max(processes // len(plan.site), 1)
+        agents_per_site = max(processes // len(plan.site), 1)
         sites = {
-            name: site.model_copy(update={"agents": max(share, site.members)}) for name, site in plan.site.items()
+            name: site.model_copy(update={"agents": max(agents_per_site, site.members)})
+            for name, site in plan.site.items()
         }
         plan = plan.model_copy(update={"site": sites})
     console = Console(stderr=True, quiet=as_json)
 
-    async def to_its_end(folder: Path) -> Result:
-        whole = asyncio.ensure_future(
+    async def run_to_completion(folder: Path) -> Result:
+        play_task = asyncio.ensure_future(
             play(
                 plan,
                 settings or day.parent / "agent.hcl",
@@ -58,14 +65,15 @@
                 lambda text: console.print(text, highlight=False),
             )
         )
-        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, whole.cancel)  # ends its agents first
-        return await whole
+        # cancelling the task stops its agents before the process exits
+        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, play_task.cancel)
+        return await play_task
 
     with tempfile.TemporaryDirectory(prefix="otterquay-cluster-") as scratch:
         try:
-            result = asyncio.run(to_its_end(out or Path(scratch)))
+            result = asyncio.run(run_to_completion(out or Path(scratch)))
         except asyncio.CancelledError:
-            raise click.ClickException("ended by SIGTERM; so are its agents") from None
+            raise click.ClickException("stopped by SIGTERM; the agents were stopped, too") from None
         except (FileExistsError, ConfigError) as error:
             raise click.ClickException(str(error)) from None
     if as_json:
--- a/otterquay/cli/root.py
+++ b/otterquay/cli/root.py
@@ -1,4 +1,4 @@
-"""All commands: the root, `agent`, `config`; laboratory and stand-ins have files of their own."""
+"""The root command with `agent` and `config`; the other commands have modules of their own."""
 
 from __future__ import annotations
 
@@ -20,79 +20,79 @@
 from otterquay.cli.standin import standin
 from otterquay.cli.store import store_commands
 from otterquay.config import ConfigError, load_service
-from otterquay.logs import configure
+from otterquay.logs import configure_logging
 from otterquay.store import Damaged, StoreFailed, open_store
 from otterquay.store.files import AsideDisk
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 def main() -> None:
-    """Routes requests while the software of the servers behind it is replaced, and votes on each new build."""
+    """Route requests while the software of the servers behind it is replaced, and vote on each new build."""
 
 
-def _refuse(error: ConfigError) -> None:
+def _exit_with_error(error: ConfigError) -> None:
     click.echo(str(error), err=True)
     sys.exit(2)
 
 
 @main.group()
 def config() -> None:
-    """Settings files."""
+    """Check and print settings files."""
 
 
 @config.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def check(file: Path) -> None:
-    """Check an agent's settings FILE; exit 2 with every problem found."""
+    """Check an agent's settings in FILE; on errors print every problem found and exit 2."""
     try:
         load_service(file)
     except ConfigError as error:
-        _refuse(error)
+        _exit_with_error(error)
     click.echo(f"{file}: fine")
 
 
 @config.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 def show(file: Path) -> None:
-    """Print an agent's settings FILE with defaults filled in: JSON, times in milliseconds, shares 0 to 1."""
+    """Print an agent's settings in FILE as JSON, including defaults; times in milliseconds, shares from 0 to 1."""
     try:
         click.echo(load_service(file).model_dump_json(indent=2, by_alias=True))
     except ConfigError as error:
-        _refuse(error)
+        _exit_with_error(error)
 
 
-def _key(text: str) -> bytes:
+def _parse_key(text: str) -> bytes:
     try:
         key = bytes.fromhex(text.strip())
     except ValueError:
         key = b""
     if len(key) != 32:
-        raise click.ClickException("the peer key file must hold 64 hex digits")
+        raise click.ClickException("the key files of the blocks peers and chat must hold 64 hex digits")
     return key
 
 
 @main.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option("--number", type=click.IntRange(0), help="This agent's number, in place of the file's.")
-@click.option("--count", type=click.IntRange(1), help="How many agents there are, in place of the file's.")
+@click.option("--count", type=click.IntRange(1), help="Number of agents, in place of the file's.")
 @click.option("--zone", help="This agent's zone, in place of the file's.")
-@click.option("--listen", help="HOST:PORT for clients, in place of the file's; port 0 takes a free one.")
+@click.option("--listen", help="HOST:PORT for clients, in place of the file's; port 0 picks a free one.")
 @click.option("--fleet", help="URL of the fleet list, in place of the file's.")
 @click.option("--desk", help="URL of the release desk, in place of the file's.")
-@click.option("--peer", "peers", multiple=True, metavar="N=HOST:PORT", help="Address of agent N for messages.")
-@click.option("--peer-key", type=FILE, help="File with the group's key, 64 hex digits.")
+@click.option("--peer", "peers", multiple=True, metavar="N=HOST:PORT", help="Address of agent N for datagrams.")
+@click.option("--peer-key", type=EXISTING_FILE, help="File with the group's key, 64 hex digits.")
 @click.option("--chat-listen", help="HOST:PORT for chat, in place of the file's.")
-@click.option("--chat-key", "chat_key_file", type=FILE, help="File with the chat key, 64 hex digits.")
+@click.option("--chat-key", "chat_key_file", type=EXISTING_FILE, help="File with the chat key, 64 hex digits.")
 @click.option("--chat-agent", "chat_agents", multiple=True, metavar="N=HOST:PORT", help="Chat address of agent N.")
 @click.option(
     "--store",
     "folder",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Folder for what outlasts a restart, in place of the file's.",
+    help="Folder for state that is kept over a restart, in place of the file's.",
 )
-@click.option("--seed", type=int, help="Seed of all chance; drawn from the system when not given.")
+@click.option("--seed", type=int, help="Seed of all random choices; taken from the system if not given.")
 @click.option("--log-level", type=click.Choice(["debug", "info", "warning", "error"]), default="info")
 @click.option("--log-form", type=click.Choice(["json", "console"]), default="json")
 @click.option("--loop", type=click.Choice(["uvloop", "asyncio"]), default="uvloop", show_default=True)
@@ -117,7 +117,7 @@
     loop: str,
     announce: bool,
 ) -> None:
-    """Run an agent with the settings in FILE until SIGTERM or SIGINT; it then answers all it holds and ends."""
+    """Run an agent with the settings in FILE until SIGTERM or SIGINT; it answers its open requests, then exits."""
     address = dict(item.partition("=")[::2] for item in peers) or None
     try:
         service = load_service(
@@ -140,20 +140,20 @@
             },
         )
     except ConfigError as error:
-        return _refuse(error)
+        return _exit_with_error(error)
     key = None
     if service.limits.peers and service.peers:
         try:
-            key = _key(Path(service.peers.key_file).read_text(encoding="ascii"))
+            key = _parse_key(Path(service.peers.key_file).read_text(encoding="ascii"))
         except (OSError, UnicodeDecodeError) as error:
             raise click.ClickException(f"the peer key cannot be read: {error}") from None
     chat_key = None
     if service.chat:
         try:
-            chat_key = _key(Path(service.chat.key_file).read_text(encoding="ascii"))
+            chat_key = _parse_key(Path(service.chat.key_file).read_text(encoding="ascii"))
         except (OSError, UnicodeDecodeError) as error:
             raise click.ClickException(f"the chat key cannot be read: {error}") from None
-    log = configure(log_level, log_form, agent=service.agent.number)
+    log = configure_logging(log_level, log_form, agent=service.agent.number)
     rng = random.Random(secrets.randbits(64) if seed is None else seed)
 
     async def run() -> None:
@@ -162,15 +162,16 @@
             clock = asyncio.get_running_loop().time
             try:
                 store = await open_store(AsideDisk(Path(service.agent.store)), log, clock)
-            except (Damaged, OSError) as error:  # traffic is worth more than what was kept; `store repair` saves it
+            except (Damaged, OSError) as error:
+                # serves traffic without the store; `otterquay store repair` recovers its data
                 log.error("store_not_taken", folder=service.agent.store, reason=str(error))
         try:
             runtime = WebAgent(service, rng, log, key, store, chat_key=chat_key)
             if service.group:
-                from otterquay.fleet.build import attach  # numpy and the rest only where they are asked for
+                from otterquay.fleet.build import attach  # imports numpy, so only where it is needed
 
                 if store is None:
-                    raise OSError("the fleet's work needs the store, which could not be opened")
+                    raise OSError("block group needs the store, which could not be opened")
                 attach(runtime, store, random.Random(rng.getrandbits(64)), log)
             await serve(runtime)
         finally:
@@ -178,19 +179,19 @@
                 await store.close()
 
     async def serve(runtime: WebAgent) -> None:
-        ended = asyncio.Event()
+        stop_requested = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, ended.set)
+            asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
         host, port = await runtime.start()
         if announce:
             chat = "" if runtime.gateway is None else " {}:{}".format(*runtime.chat_bound)
             click.echo(f"listening {host}:{port}{chat}")
-        await ended.wait()
+        await stop_requested.wait()
         await runtime.stop()
 
     gc.collect()
-    gc.freeze()  # what the program is made of need not be looked through again for each thousand requests
-    gc.set_threshold(50_000, 20, 100)  # a full pass over 5,000 sessions stops everything for 140 ms: make it rare
+    gc.freeze()  # excludes objects that live as long as the process from collections
+    gc.set_threshold(50_000, 20, 100)  # rare full collections: one over 5,000 sessions stops the process for 140 ms
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop if loop == "uvloop" else None) as runner:
             runner.run(run())
--- a/otterquay/cli/standin.py
+++ b/otterquay/cli/standin.py
@@ -1,4 +1,4 @@
-"""`otterquay standin ...`: each stand-in on its own, for trying an agent by hand."""
+"""`otterquay standin ...`: runs single stand-ins, for manual tests of an agent."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from otterquay.standins.links import Link, LinkState
 from otterquay.standins.tape import Tape
 
-FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
+EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 @click.group()
@@ -37,9 +37,9 @@
 
 
 @standin.command()
-@click.option("--listen", default="127.0.0.1:0", show_default=True, help="HOST:PORT; port 0 takes a free one.")
+@click.option("--listen", default="127.0.0.1:0", show_default=True, help="HOST:PORT; port 0 picks a free one.")
 @click.option("--cores", type=click.IntRange(1), default=2, show_default=True)
-@click.option("--speed", type=float, default=1.0, show_default=True, help="Of one core; 1 is the yardstick.")
+@click.option("--speed", type=float, default=1.0, show_default=True, help="Speed of one core; 1 is the reference.")
 @click.option("--queue", type=click.IntRange(1), default=64, show_default=True)
 @click.option("--build", type=click.IntRange(1), default=1, show_default=True)
 @click.option("--zone", default="north", show_default=True)
@@ -49,9 +49,17 @@
     default="none",
     show_default=True,
 )
-@click.option("--flaw-share", type=float, default=0.5, show_default=True, help="Part of requests that it hits.")
-@click.option("--flaw-factor", type=float, default=2.5, show_default=True, help="Times the work it takes.")
-@click.option("--flaw-class", default="", help="The class hit by `class`.")
+@click.option(
+    "--flaw-share", type=float, default=0.5, show_default=True, help="Share of requests that the flaw affects."
+)
+@click.option(
+    "--flaw-factor",
+    type=float,
+    default=2.5,
+    show_default=True,
+    help="Factor by which the flaw multiplies the work.",
+)
+@click.option("--flaw-class", default="", help="Class of requests that the flaw `class` affects.")
 def appliance(
     listen: str,
     cores: int,
@@ -64,15 +72,15 @@
     flaw_factor: float,
     flaw_class: str,
 ) -> None:
-    """One appliance; prints its address and, at the end, what crossed its sockets, a JSON object a line."""
+    """Run one appliance; prints its address and, at the end, the traffic of its sockets as JSON lines."""
     tape = Tape()
 
     async def run() -> None:
         fault = None if flaw == "none" else Flaw(flaw, flaw_share, flaw_class, flaw_factor)  # type: ignore[arg-type]
-        one = Appliance(
+        server = Appliance(
             1, 1, build, zone, Shape(cores, speed, queue), tape, random.Random(1), DedupBook(5.0), fault
         )
-        click.echo(f"listening {await one.start(*split_address(listen))}")
+        click.echo(f"listening {await server.start(*split_address(listen))}")
         await asyncio.Event().wait()
 
     try:
@@ -85,11 +93,11 @@
 @click.argument("target")
 @click.option("--listen", default="127.0.0.1:0", show_default=True)
 @click.option("--delay-ms", type=float, default=0.0, show_default=True)
-@click.option("--cut", is_flag=True, help="Swallow all that is sent.")
-@click.option("--one-way", is_flag=True, help="Swallow what TARGET sends.")
-@click.option("--reset", is_flag=True, help="Reset in the middle of each message.")
+@click.option("--cut", is_flag=True, help="Drop all data in both directions.")
+@click.option("--one-way", is_flag=True, help="Drop what TARGET sends.")
+@click.option("--reset", is_flag=True, help="Reset the connection in the middle of each message.")
 def link(target: str, listen: str, delay_ms: float, cut: bool, one_way: bool, reset: bool) -> None:
-    """A faulty link to TARGET, HOST:PORT."""
+    """Run a faulty link to TARGET, HOST:PORT."""
 
     async def run() -> None:
         relay = Link(target, LinkState(delay_ms / 1e3, cut, one_way, reset))
@@ -108,40 +116,44 @@
 
 
 @standin.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.option("--seed", type=int, default=1, show_default=True)
 def world(file: Path, seed: int) -> None:
-    """Appliances, fleet list and release desk of the day in FILE, with its builds and faults, without agents.
+    """Run the appliances, fleet list and release desk of the day in FILE.
 
-    Prints the URLs to give to `otterquay agent --fleet ... --desk ...`.
+    The day's builds and faults are played, without agents. Prints the URLs for
+    `otterquay agent --fleet ... --desk ...`.
     """
     day, service = _load(file)
 
     async def run() -> None:
         def no_host(_: object) -> Any:
-            raise RuntimeError("this world has no agents")
+            raise RuntimeError("this world runs no agents")
 
-        one = World(day, service, seed, no_host, click.echo)
-        fleet, desk = await one.open()
+        lab_world = World(day, service, seed, no_host, click.echo)
+        fleet, desk = await lab_world.open()
         click.echo(f"fleet http://{fleet}\ndesk http://{desk}")
-        await one.play()
+        await lab_world.play()
         await asyncio.Event().wait()
 
     _run(run)
 
 
 @standin.command()
-@click.argument("file", type=FILE)
+@click.argument("file", type=EXISTING_FILE)
 @click.argument("agents", nargs=-1, required=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 def clients(file: Path, agents: tuple[str, ...], seed: int) -> None:
-    """The clients of the day in FILE against running AGENTS, HOST:PORT each in the order of their numbers."""
+    """Run the clients of the day in FILE against running AGENTS.
+
+    AGENTS are given as HOST:PORT, in the order of their numbers.
+    """
     day, service = _load(file)
 
     async def run() -> None:
-        one = World(day, service, seed, lambda _: (_ for _ in ()).throw(RuntimeError()), click.echo)
-        crowd = one.crowd(dict(enumerate(agents)))
-        await crowd.offer(lambda _: day.traffic.rate, day.duration / 1e3)
-        sys.stdout.buffer.write(one.tape.dump())
+        traffic_world = World(day, service, seed, lambda _: (_ for _ in ()).throw(RuntimeError()), click.echo)
+        load_generator = traffic_world.crowd(dict(enumerate(agents)))
+        await load_generator.offer(lambda _: day.traffic.rate, day.duration / 1e3)
+        sys.stdout.buffer.write(traffic_world.tape.dump())
 
     _run(run)
--- a/otterquay/cli/store.py
+++ b/otterquay/cli/store.py
@@ -1,4 +1,4 @@
-"""`otterquay store ...`: look into a store's folder, copy it, compact it, salvage what a damaged one holds."""
+"""`otterquay store ...`: inspects, copies and compacts a store's folder, and recovers the data of a damaged one."""
 
 from __future__ import annotations
 
@@ -11,23 +11,26 @@
 
 import click
 
-from otterquay.logs import configure
+from otterquay.logs import configure_logging
 from otterquay.store import Damaged, Store, StoreFailed, open_store
 from otterquay.store.files import Disk
 from otterquay.store.parts import segment_name
 from otterquay.store.salvage import Report, backup, salvage, verify
 
-FOLDER = click.Path(exists=True, file_okay=False, path_type=Path)
-NEW = click.Path(file_okay=False, path_type=Path)
+EXISTING_FOLDER = click.Path(exists=True, file_okay=False, path_type=Path)
+NEW_FOLDER = click.Path(file_okay=False, path_type=Path)
 T = TypeVar("T")
 
 
 @click.group("store")
 def store_commands() -> None:
-    """A store folder. All but compact only read, and may be used while an agent writes there."""
+    """Inspect, copy, compact and repair store folders.
 
+    All commands but compact only read FOLDER, and may be used while an agent writes to it.
+    """
 
-def _clock() -> Callable[[], float]:
+
+def _loop_clock() -> Callable[[], float]:
     return asyncio.get_running_loop().time
 
 
@@ -39,44 +42,48 @@
         sys.exit(1)
 
 
-async def _look(folder: Path) -> Store:
-    return await open_store(Disk(folder), configure("error", "console"), _clock(), look=True)
+async def _open_read_only(folder: Path) -> Store:
+    return await open_store(Disk(folder), configure_logging("error", "console"), _loop_clock(), look=True)
 
 
-def _tell(folder: Path, report: Report) -> None:
+def _print_damage(folder: Path, report: Report) -> None:
     for name, offset, reason in report.bad:
         click.echo(f"{folder / name}: offset {offset}: {reason}")
     for first, last in report.missing:
-        click.echo(f"{folder}: records {first} to {last} are missing; a key that they changed shows an older value")
+        click.echo(f"{folder}: records {first} to {last} are missing; keys that they changed have older values")
 
 
 @store_commands.command("verify")
-@click.argument("folder", type=FOLDER)
+@click.argument("folder", type=EXISTING_FOLDER)
 def verify_command(folder: Path) -> None:
-    """Read every record of FOLDER, beside the hints that opening goes by; exit 1 where one is damaged."""
+    """Read every record of FOLDER, not only the hint files that opening uses; exit 1 when one is damaged."""
 
     async def work() -> tuple[Store, Report]:
-        opened = await _look(folder)
+        opened = await _open_read_only(folder)
         return opened, verify(Disk(folder))
 
     opened, report = _run(folder, work())
     newest = segment_name(opened.number)
     bad = [b for b in report.bad if not (b[0] == newest and opened.cut_bytes)]
     report.bad = bad
-    _tell(folder, report)
-    torn = f"; {opened.cut_bytes} bytes of a torn tail, which opening to write cuts" if opened.cut_bytes else ""
+    _print_damage(folder, report)
+    torn_note = (
+        f"; {opened.cut_bytes} bytes of a torn tail, which the next opening for writing cuts off"
+        if opened.cut_bytes
+        else ""
+    )
     if not bad and not report.missing:
-        click.echo(f"{folder}: whole, {report.records} records, {report.entries} entries{torn}")
+        click.echo(f"{folder}: whole, {report.records} records, {report.entries} entries{torn_note}")
     sys.exit(1 if bad or report.missing else 0)
 
 
 @store_commands.command()
-@click.argument("folder", type=FOLDER)
+@click.argument("folder", type=EXISTING_FOLDER)
 def stat(folder: Path) -> None:
-    """Tables with their keys, segments with their sizes, as one JSON object."""
+    """Print the tables with their numbers of keys and the segments with their sizes, as one JSON object."""
 
     async def work() -> dict[str, Any]:
-        opened = await _look(folder)
+        opened = await _open_read_only(folder)
         return {
             "tables": opened.tables(),
             "segments": {segment_name(n): s.size for n, s in opened.segments.items()},
@@ -92,30 +99,33 @@
 
 
 @store_commands.command()
-@click.argument("folder", type=FOLDER)
-@click.option("--table", help="This table only.")
+@click.argument("folder", type=EXISTING_FOLDER)
+@click.option("--table", help="Only this table.")
 def dump(folder: Path, table: str | None) -> None:
-    """Every key and value in order, a JSON object a line, bytes in hexadecimal; `ends_ms` is store time."""
+    """Print every key and value in order, one JSON object per line, bytes in hexadecimal.
+
+    `ends_ms` is the store time at which a key expires.
+    """
 
     async def work() -> None:
-        opened = await _look(folder)
+        opened = await _open_read_only(folder)
         for name in opened.tables():
             if table in (None, name):
-                ends = opened.index.tables[name].ends
+                expiry_times = opened.index.tables[name].ends
                 for key, value in opened.scan(name):
-                    life = {"ends_ms": ends[key]} if key in ends else {}
-                    click.echo(json.dumps({"table": name, "key": key.hex(), "value": value.hex(), **life}))
+                    expiry = {"ends_ms": expiry_times[key]} if key in expiry_times else {}
+                    click.echo(json.dumps({"table": name, "key": key.hex(), "value": value.hex(), **expiry}))
 
     _run(folder, work())
 
 
 @store_commands.command()
-@click.argument("folder", type=FOLDER)
+@click.argument("folder", type=EXISTING_FOLDER)
 def compact(folder: Path) -> None:
-    """Write what is alive anew and remove the rest. Needs the folder to itself."""
+    """Rewrite the live entries of FOLDER and remove the rest. No other process may use the folder."""
 
     async def work() -> tuple[int, int]:
-        opened = await open_store(Disk(folder), configure("warning", "console"), _clock())
+        opened = await open_store(Disk(folder), configure_logging("warning", "console"), _loop_clock())
         before = opened.total_bytes()
         await opened.compact()
         after = opened.total_bytes()
@@ -127,14 +137,16 @@
 
 
 @store_commands.command("backup")
-@click.argument("folder", type=FOLDER)
-@click.argument("to", type=NEW)
+@click.argument("folder", type=EXISTING_FOLDER)
+@click.argument("to", type=NEW_FOLDER)
 def backup_command(folder: Path, to: Path) -> None:
-    """Copy FOLDER into TO, new or empty, also while an agent writes; the copy is opened and read whole."""
+    """Copy FOLDER into TO, a new or empty folder, even while an agent writes; then open and read the whole copy."""
 
     async def work() -> tuple[int, int, int]:
         count, size = await backup(Disk(folder), Disk(to))
-        copy = await open_store(Disk(to), configure("error", "console"), _clock(), look=True, hints=False)
+        copy = await open_store(
+            Disk(to), configure_logging("error", "console"), _loop_clock(), look=True, hints=False
+        )
         return count, size, sum(copy.tables().values())
 
     count, size, keys = _run(folder, work())
@@ -142,14 +154,14 @@
 
 
 @store_commands.command()
-@click.argument("folder", type=FOLDER)
-@click.option("--to", type=NEW, required=True, help="Folder for what is whole, new or empty.")
+@click.argument("folder", type=EXISTING_FOLDER)
+@click.option("--to", type=NEW_FOLDER, required=True, help="New or empty folder for the intact records.")
 def repair(folder: Path, to: Path) -> None:
-    """Put what is whole of a damaged FOLDER into another one and tell what is not; FOLDER stays as it is."""
+    """Copy the intact records of a damaged FOLDER to another one and report the damage; FOLDER stays as it is."""
 
     async def work() -> Report:
-        return await salvage(Disk(folder), Disk(to), configure("warning", "console"), _clock())
+        return await salvage(Disk(folder), Disk(to), configure_logging("warning", "console"), _loop_clock())
 
     report = _run(folder, work())
-    _tell(folder, report)
-    click.echo(f"{to}: {report.entries} entries of {report.records} whole records")
+    _print_damage(folder, report)
+    click.echo(f"{to}: {report.entries} entries of {report.records} intact records")
--- a/otterquay/config/__init__.py
+++ b/otterquay/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: HCL files, checked by pydantic, turned into the module's settings and the program's own."""
+"""Settings files: HCL, validated by pydantic and converted to the settings of the decision module."""
 
 from otterquay.config.load import ConfigError, load_document, load_service, parse_service
 from otterquay.config.schema import Service
--- a/otterquay/config/blocks.py
+++ b/otterquay/config/blocks.py
@@ -1,14 +1,14 @@
-"""What all blocks of a settings file share."""
+"""Base class and field markers for the blocks of a settings file."""
 
 from __future__ import annotations
 
 from pydantic import BaseModel, ConfigDict
 
-LABELLED = "labelled"  # block "name" { ... }, any number
-REPEATED = "repeated"  # block { ... }, any number, in order
+LABELLED = "labelled"  # any number of blocks: block "name" { ... }
+REPEATED = "repeated"  # any number of blocks in order: block { ... }
 
 
 class Block(BaseModel):
-    """A block; unknown keys are refused."""
+    """Base model of a block; rejects unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
--- a/otterquay/config/fleet.py
+++ b/otterquay/config/fleet.py
@@ -1,4 +1,7 @@
-"""Blocks of the fleet's own work: `group`, `capacity`, `machine`. Times are milliseconds once read."""
+"""Settings of the work that agents coordinate: the blocks `group`, `capacity` and `machine`.
+
+Times are in milliseconds once parsed.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +14,17 @@
 
 
 class GroupAgent(Block):
-    """One agent of the fleet: where the others reach it, and its site."""
+    """One agent of the group: the address at which the others reach it, and its site."""
 
     address: Address
     zone: str
 
 
 class Group(Block):
-    """All agents that share work, which of them are members, and how long things may take.
+    """The agents that share work, the voting members among them, and the timing of the group's protocol.
 
-    `name` tells this group's messages from another's. `listen` is this agent's own address where it differs
-    from the one that the others are told.
+    `name` distinguishes the messages of this group from those of others. `listen` is the address that this agent
+    binds, where it differs from the one that the other agents use.
     """
 
     name: str = Field(min_length=1, max_length=64)
@@ -38,43 +41,45 @@
     settle: Duration = 20000.0
 
     @model_validator(mode="after")
-    def _agree(self) -> Group:
+    def _check_consistency(self) -> Group:
         if len(self.members) not in (1, 3, 5) or len(set(self.members)) != len(self.members):
             raise ValueError(
                 f"members: {self.members}: name three or five different agents (one alone for "
-                "trials): an even number bears no more failures than one fewer"
+                "trials): an even number bears no more failures than the odd number below it"
             )
-        lacks = [str(m) for m in self.members if str(m) not in self.agent]
-        if lacks:
-            raise ValueError(f"members: no block agent for {', '.join(lacks)}")
+        missing = [str(member) for member in self.members if str(member) not in self.agent]
+        if missing:
+            raise ValueError(f"members: no block agent for {', '.join(missing)}")
         for name in self.agent:
             if not (name.isascii() and name.isdigit() and int(name) < 0xFFFF):
-                raise ValueError(f'agent "{name}": the name is the agent\'s number')
+                raise ValueError(f'agent "{name}": the name must be the number of the agent, 0 to 65534')
         if not 0 < self.beat * 3 <= self.election:
-            raise ValueError("election must be at least three times beat, or a lost message begins an election")
+            raise ValueError("election must be at least three times beat, or one lost heartbeat starts an election")
         if not self.election * 2 < self.lost:
-            raise ValueError("lost must be over twice election, or a new leader counts as a lost group")
+            raise ValueError("lost must be over twice election, or an election counts as the loss of the group")
         if self.lease < self.election or self.drift >= 0.5:
-            raise ValueError("lease must be at least election, and drift under 50%")
+            raise ValueError("lease must be at least election, and drift must be under 50%")
         return self
 
-    def fits(self, zones: list[str], number: int, zone: str, store: str) -> None:
-        """ValueError where the group does not fit the agent that reads it."""
+    def check_agent(self, zones: list[str], number: int, zone: str, store: str) -> None:
+        """Raise ValueError unless the group is consistent with the agent that reads the settings."""
         for name, agent in self.agent.items():
             if agent.zone not in zones:
                 raise ValueError(f"group.agent.{name}.zone: {agent.zone!r} is none of zones {zones}")
-        mine = self.agent.get(str(number))
-        if mine is None:
-            raise ValueError(f"group: no block agent for this one, {number}")
-        if mine.zone != zone:
-            raise ValueError(f"group.agent.{number}.zone: {mine.zone!r}, but agent.zone is {zone!r}")
+        own_entry = self.agent.get(str(number))
+        if own_entry is None:
+            raise ValueError(f"group: no block agent for this agent, number {number}")
+        if own_entry.zone != zone:
+            raise ValueError(f"group.agent.{number}.zone: {own_entry.zone!r}, but agent.zone is {zone!r}")
         if not store:
-            raise ValueError("group: agent.store is needed, a folder for what this agent promises to others")
+            raise ValueError(
+                "group: agent.store is needed: the folder where this agent records what it has promised to others"
+            )
 
 
 class CapacitySite(Block):
-    """What one site needs: servers by kind at the least, and a kind of which the demand asks for as many as it
-    takes.
+    """What one site needs: `want` is the least number of servers by kind; `size` names the kind whose number
+    follows the demand.
     """
 
     want: dict[str, Positive] = {}
@@ -82,10 +87,10 @@
 
 
 class Capacity(Block):
-    """The yard, how many servers may run in all, and what a site may order while it is cut off.
+    """The yard, the bound on running servers in all sites, and the servers that an isolated site may order.
 
-    `retire`: servers that were too many for so long are retired; 0: never. `owes`: an owner that has brought
-    nothing for so long, as others see it, is relieved; 0 switches that off.
+    `retire`: a server that has been surplus for this long is retired; 0: never. `owes`: the owner of a duty that
+    has made no progress for this long, as the other agents see it, is relieved; 0: never.
     """
 
     yard: str = Field(pattern=r"^http://[^/]+:\d+(/.*)?$")
@@ -96,28 +101,29 @@
     owes: Duration = 0.0
     site: Annotated[dict[str, CapacitySite], LABELLED] = {}
 
-    def fits(self, zones: list[str]) -> None:
-        """ValueError where sites or sums cannot hold."""
+    def check_zones(self, zones: list[str]) -> None:
+        """Raise ValueError for unknown sites, times that are too short, or demands over the bound."""
         for name in self.site:
             if name not in zones:
                 raise ValueError(f"capacity.site.{name}: is none of zones {zones}")
         if 0 < self.retire < 10 * self.look:
-            raise ValueError("capacity.retire: must be at least ten times look, or a lull ends servers; 0: never")
+            raise ValueError(
+                "capacity.retire: must be at least ten times look, or a brief lull retires servers; 0: never"
+            )
         if 0 < self.owes < 4 * self.look:
             raise ValueError(
-                "capacity.owes: must be at least four times look, or one look that is lost relieves "
-                "an owner; 0 switches it off"
+                "capacity.owes: must be at least four times look, or a single lost look relieves an owner; 0: never"
             )
-        wanted = sum(sum(s.want.values()) for s in self.site.values())
-        if wanted + self.allowance * len(zones) > self.bound:
+        total_wanted = sum(sum(site_needs.want.values()) for site_needs in self.site.values())
+        if total_wanted + self.allowance * len(zones) > self.bound:
             raise ValueError(
-                f"capacity: {wanted} servers wanted and allowances of {self.allowance} for "
-                f"{len(zones)} sites are over the bound of {self.bound}: raise bound, lower allowance"
+                f"capacity: {total_wanted} servers wanted and allowances of {self.allowance} for "
+                f"{len(zones)} sites exceed the bound of {self.bound}: raise bound or lower allowance"
             )
 
 
 class Machine(Block):
-    """A kind of server, as the list numbers it: what is known of it beforehand; all may be missing."""
+    """Known properties of one kind of server, all optional; the label is the kind's number in the fleet list."""
 
     family: str = ""
     cores: float | None = Field(default=None, gt=0)
--- a/otterquay/config/schema.py
+++ b/otterquay/config/schema.py
@@ -1,4 +1,4 @@
-"""What a settings file may hold: pydantic models of its blocks. Times are milliseconds once read."""
+"""Pydantic models of the blocks of an agent's settings file. Times are in milliseconds once parsed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestClass(Block):
-    """One class of requests: what repeating it does, and what it is worth when."""
+    """A class of requests: the effect of repeating one, its time limits and its worth."""
 
     effect: Literal["safe", "keyed", "unsafe"]
     scope: Literal["all", "zone", "cell"] = "all"
@@ -24,25 +24,25 @@
     late_worth: Share = 0.0
 
     @model_validator(mode="after")
-    def _agree(self) -> RequestClass:
+    def _check_consistency(self) -> RequestClass:
         if not 0 < self.aim <= self.deadline:
             raise ValueError("aim must be over 0 and at most the deadline")
         if self.effect == "keyed" and self.repeat_window <= 0:
-            raise ValueError('effect "keyed" needs repeat_window: how long a repeat is dropped')
+            raise ValueError('effect "keyed" needs repeat_window: for how long servers drop repeats')
         if self.effect != "keyed" and self.repeat_window > 0:
-            raise ValueError(f'repeat_window goes with effect "keyed", not "{self.effect}"')
+            raise ValueError(f'repeat_window is for effect "keyed" only, not "{self.effect}"')
         return self
 
 
 class Tenant(Block):
-    """One tenant and its share of the service."""
+    """A tenant: its quota of requests and its share of the service."""
 
     quota_per_s: float = Field(gt=0)
     share: Share
 
 
 class Limits(Block):
-    """What the deployment permits."""
+    """Limits and optional features that the deployment permits."""
 
     cancel: bool = True
     peers: bool = False
@@ -57,7 +57,7 @@
 
 
 class Rules(Block):
-    """The figures behind the five rules."""
+    """Parameters of the five rules that every agent keeps."""
 
     answer_slack: Duration = 20.0
     ask_within: Duration = 10000.0
@@ -69,14 +69,14 @@
 
 
 class Stage(Block):
-    """One stage of a rollout: its share of the fleet and the cap on an agent's attempts."""
+    """One stage of a rollout: its share of the fleet, and the cap on the share of an agent's attempts."""
 
     share: Share
     cap: Share
 
 
 class Rollout(Block):
-    """How builds are staged, voted on and priced."""
+    """Stages of a rollout, the votes that move it on or back, and the prices of old builds and of harm."""
 
     control: Literal["any", "share", "timer"] = "any"
     replacement: Literal["beside", "in_place"] = "beside"
@@ -102,18 +102,18 @@
     harm_price: float = Field(default=4.0, ge=0)
 
     @model_validator(mode="after")
-    def _agree(self) -> Rollout:
+    def _check_consistency(self) -> Rollout:
         if (self.control == "timer") != (self.on_votes == 0):
             raise ValueError('on_votes is 0 under control "timer" and at least 1 otherwise')
         if self.hold_votes and self.control != "timer":
-            raise ValueError('hold_votes goes with control "timer" only')
+            raise ValueError('hold_votes is for control "timer" only')
         if self.guarded_stages > len(self.stage):
             raise ValueError(f"guarded_stages is {self.guarded_stages}, but there are {len(self.stage)} stages")
         return self
 
 
-class Front(Block):
-    """Bounds on what clients may hand the agent; beyond them it answers by itself."""
+class FrontLimits(Block):
+    """Limits on what clients may send; the agent itself answers a request that exceeds them."""
 
     max_connections: Positive = 4096
     max_head: Size = 16384
@@ -124,15 +124,18 @@
     write_timeout: Duration = 5000.0
 
 
-class Back(Block):
-    """Bounds on what appliances may hand the agent."""
+class BackLimits(Block):
+    """Limits on the answers of appliances."""
 
     max_head: Size = 16384
     max_answer: Size = 4194304
 
 
 class Feeds(Block):
-    """Where the fleet list and the release desk are; reconnects wait between the two times, at random."""
+    """URLs of the fleet list and the release desk.
+
+    The delay before a reconnect is random between reconnect_least and reconnect_most.
+    """
 
     fleet: str = Field(pattern=r"^http://[^/]+:\d+(/.*)?$")
     desk: str = Field(pattern=r"^http://[^/]+:\d+(/.*)?$")
@@ -142,21 +145,21 @@
     max_event: Size = 4194304
 
     @model_validator(mode="after")
-    def _agree(self) -> Feeds:
+    def _check_consistency(self) -> Feeds:
         if not 0 < self.reconnect_least <= self.reconnect_most:
             raise ValueError("reconnect_least must be over 0 and at most reconnect_most")
         return self
 
 
 class Peers(Block):
-    """Datagrams between agents: a shared key of 64 hex digits in a file, and each agent's address."""
+    """Datagrams between agents: the file with the shared key of 64 hex digits, and the address of each agent."""
 
     key_file: str
     address: dict[str, Address] = Field(min_length=1)
 
 
 class ChatCommand(Block):
-    """What a typed command is: its class, and what it may be given."""
+    """A chat command: its class of requests, its target and the arguments and options that it accepts."""
 
     class_: str = Field(alias="class")
     target: str = Field(default="/", pattern=r"^/\S*$")
@@ -165,14 +168,14 @@
     options: list[str] = []
 
     @model_validator(mode="after")
-    def _agree(self) -> ChatCommand:
+    def _check_consistency(self) -> ChatCommand:
         if self.least_words > self.most_words:
-            raise ValueError("least_words is over most_words")
+            raise ValueError("least_words must be at most most_words")
         return self
 
 
 class Chat(Block):
-    """The chat gateway: its listener, its commands and its bounds; rates are per second."""
+    """The chat gateway: its listener, commands and limits; rates are per second."""
 
     listen: Address
     key_file: str
@@ -197,9 +200,9 @@
 
 
 class Agent(Block):
-    """This agent among its group; the command line may override number, zone, listen and store.
+    """Identity of this agent in its group; the command line may override number, count, zone, listen and store.
 
-    `store` is a folder of this agent's own for what outlasts a restart; without one nothing does.
+    `store` is the folder where this agent keeps its state over a restart; without it no state is kept.
     """
 
     number: Count = 0
@@ -210,14 +213,14 @@
     store: str = ""
 
     @model_validator(mode="after")
-    def _agree(self) -> Agent:
+    def _check_consistency(self) -> Agent:
         if self.number >= self.count:
             raise ValueError(f"number is {self.number}, but must be under count, {self.count}")
         return self
 
 
 class Service(Block):
-    """A whole settings file of an agent."""
+    """The complete settings file of an agent."""
 
     zones: list[str] = Field(min_length=1)
     report_fields: list[Literal["inflight", "queue", "util", "latency_ms", "qps", "eps"]] = []
@@ -234,8 +237,8 @@
     limits: Limits = Limits()
     rules: Rules
     rollout: Rollout
-    front: Front = Front()
-    back: Back = Back()
+    front: FrontLimits = FrontLimits()
+    back: BackLimits = BackLimits()
     feeds: Feeds
     peers: Peers | None = None
     chat: Chat | None = None
@@ -244,9 +247,9 @@
     machine: Annotated[dict[str, Machine], LABELLED] = {}
 
     @model_validator(mode="after")
-    def _agree(self) -> Service:
+    def _check_consistency(self) -> Service:
         if len(set(self.zones)) != len(self.zones):
-            raise ValueError("zones: a name stands twice")
+            raise ValueError("zones: a name occurs twice")
         if self.agent.zone not in self.zones:
             raise ValueError(f"agent.zone: {self.agent.zone!r} is none of zones {self.zones}")
         if self.tenant and sum(t.share for t in self.tenant.values()) > 1.0 + 1e-6:
@@ -257,16 +260,18 @@
         if self.limits.peers and self.peers is None:
             raise ValueError("limits.peers is true, but there is no block peers")
         if self.limits.peers and self.peers:
-            lacks = [str(i) for i in range(self.agent.count) if str(i) not in self.peers.address]
-            if lacks:
-                raise ValueError(f"peers.address lacks agent {', '.join(lacks)}")
+            missing = [str(i) for i in range(self.agent.count) if str(i) not in self.peers.address]
+            if missing:
+                raise ValueError(f"peers.address has no entry for agent {', '.join(missing)}")
         if self.group:
-            self.group.fits(self.zones, self.agent.number, self.agent.zone, self.agent.store)
+            self.group.check_agent(self.zones, self.agent.number, self.agent.zone, self.agent.store)
             if self.capacity is None:
-                raise ValueError("group: there is no block capacity: say where the yard is and what may be ordered")
-            self.capacity.fits(self.zones)
+                raise ValueError(
+                    "group: there is no block capacity: add one with the yard and the servers that may be ordered"
+                )
+            self.capacity.check_zones(self.zones)
         elif self.capacity:
-            raise ValueError("capacity: goes with a block group, which says who agrees on it")
+            raise ValueError("capacity: goes with a block group: add one that names the agents that coordinate it")
         return self
 
 
--- a/otterquay/config/translate.py
+++ b/otterquay/config/translate.py
@@ -1,4 +1,4 @@
-"""Checked settings into the module's own types; translates and decides nothing."""
+"""Converts validated settings to the types of the decision module."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from otterquay.config.schema import Service
 
 
-def module_settings(service: Service) -> it.Settings:
-    """What the decision module is told at its start."""
+def decision_settings(service: Service) -> it.Settings:
+    """The settings with which the decision module starts."""
     limits, rules, roll = service.limits, service.rules, service.rollout
     return it.Settings(
         agents=service.agent.count,
--- a/otterquay/lab/mass/play.py
+++ b/otterquay/lab/mass/play.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from otterquay import interface as it
-from otterquay.config.translate import module_settings
+from otterquay.config.translate import decision_settings
 from otterquay.lab.mass.books import Books
 from otterquay.lab.mass.plan import Mass, Release, Result
 from otterquay.lab.mass.servers import CORES, Server
@@ -38,7 +38,7 @@
 
     def __init__(self, mass: Mass, seed: int) -> None:
         self.mass, self.rng, self.result = mass, random.Random(seed), Result()
-        self.settings = replace(module_settings(mass.service), agents=mass.agents, me=0)
+        self.settings = replace(decision_settings(mass.service), agents=mass.agents, me=0)
         self.now, self._heap, self._order = 0.0, list[tuple[float, int, Callable[[], object]]](), itertools.count()
         n = mass.agents
         self.servers = [
--- a/otterquay/logs.py
+++ b/otterquay/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line on standard error, as JSON or for the console."""
+"""Structured logging: one event per line on standard error, as JSON or as console text."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 import sys
 from typing import Any
 
-Logger = Any  # structlog's loggers take any keyword
+Logger = Any  # structlog's loggers accept any keyword argument
 
 
-def configure(level: str = "info", form: str = "json", **bound: Any) -> Logger:
-    """Set up logging for this process and return its logger; `form` is "json" or "console".
+def configure_logging(level: str = "info", output_format: str = "json", **bound: Any) -> Logger:
+    """Configure logging for this process and return its logger; `output_format` is "json" or "console".
 
-    Lines carry the loop's clock where the caller binds it; the wall clock is left to what collects the lines.
+    Lines carry no wall-clock time, which the log collector adds; callers that need the event loop's time bind it.
     """
-    import structlog  # here, as it brings rich with it, for which a small agent has no room
+    import structlog  # imported here: it imports rich, which needs too much memory for a small agent
 
     renderer: Any = structlog.processors.JSONRenderer()
-    if form == "console":
+    if output_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     structlog.configure(
         processors=[structlog.processors.add_log_level, structlog.processors.format_exc_info, renderer],
@@ -25,18 +25,18 @@
         logger_factory=structlog.PrintLoggerFactory(file=sys.stderr),
         cache_logger_on_first_use=False,
     )
-    return structlog.get_logger().bind(**bound)  # bound now, not anew at every line
+    return structlog.get_logger().bind(**bound)  # binds once here rather than for each line
 
 
 def silent() -> Logger:
-    """A logger that drops everything, for tests and measurements."""
+    """Return a logger that drops every event, for tests and benchmarks."""
     import structlog
 
-    silence = structlog.make_filtering_bound_logger(logging.CRITICAL)
-    return structlog.wrap_logger(None, processors=[_drop], wrapper_class=silence).bind()
+    filtering_logger = structlog.make_filtering_bound_logger(logging.CRITICAL)
+    return structlog.wrap_logger(None, processors=[_drop_event], wrapper_class=filtering_logger).bind()
 
 
-def _drop(_: Any, __: str, ___: Any) -> Any:
+def _drop_event(_: Any, __: str, ___: Any) -> Any:
     import structlog
 
     raise structlog.DropEvent
--- a/otterquay/node/config.py
+++ b/otterquay/node/config.py
@@ -11,7 +11,7 @@
 from msgspec import Meta
 
 from otterquay import interface as it
-from otterquay.benchlink.settings import decode
+from otterquay.benchlink.settings import decode_settings
 from otterquay.benchlink.wire import WireError
 from otterquay.protocol.platform import PHASES, State, read_state
 
@@ -109,7 +109,7 @@
     try:
         file: _File = msgspec.json.decode(data, type=_File)
         raw: _RawSettings = msgspec.json.decode(file.settings, type=_RawSettings)
-        settings = decode(bytes(file.settings))
+        settings = decode_settings(bytes(file.settings))
     except (msgspec.MsgspecError, ValueError, WireError) as error:
         raise ConfigError(str(error)) from None
     if len(settings.report_fields) != len(raw.load_report.names):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as users meet it: exit codes, words, whole processes."""
+"""The command line: exit codes, messages and whole processes."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 EXAMPLES = EXAMPLE.parent
 
 
-def call(*words: str) -> tuple[int, str]:
-    result = CliRunner().invoke(main, list(words))
+def call(*arguments: str) -> tuple[int, str]:
+    result = CliRunner().invoke(main, list(arguments))
     return result.exit_code, result.output
 
 
 def test_every_command_has_help() -> None:
-    for words in (
+    for command in (
         [],
         ["agent"],
         ["config"],
@@ -38,7 +38,7 @@
         ["standin", "clients"],
         ["demo"],
     ):
-        code, text = call(*words, "--help")
+        code, text = call(*command, "--help")
         assert code == 0 and "Usage:" in text and len(text.splitlines()) > 5
 
 
@@ -50,14 +50,14 @@
     bad = tmp_path / "bad.hcl"
     bad.write_text(EXAMPLE.read_text().replace('"800ms"', "800"))
     code, text = call("config", "check", str(bad))
-    assert code == 2 and "class.race-entry.aim: 800 is no duration" in text
+    assert code == 2 and "class.race-entry.aim: 800 is not a duration" in text
     code, text = call("agent", str(bad))
-    assert code == 2 and "is no duration" in text
+    assert code == 2 and "is not a duration" in text
     code, text = call("agent", str(EXAMPLE), "--zone", "moon")
     assert code == 2 and "is none of zones" in text
 
 
-SHORT = """service = "agent.hcl"
+SHORT_DAY = """service = "agent.hcl"
 duration = "4s"
 fleet {
   machines = 4
@@ -101,7 +101,7 @@
 
 
 def test_a_short_day_with_agents_in_processes_that_are_killed_stopped_and_paused(tmp_path: Path) -> None:
-    (tmp_path / "day.hcl").write_text(SHORT)
+    (tmp_path / "day.hcl").write_text(SHORT_DAY)
     (tmp_path / "agent.hcl").write_text(EXAMPLE.read_text())
 
     async def work() -> None:
@@ -120,7 +120,8 @@
         out, _ = await process.communicate()
         found = json.loads(out)
         assert process.returncode == 0 and set(found["violations"].values()) == {0}
-        assert found["requests"] > 20 and found["answers"]["served"] > 5  # a busy machine offers and serves fewer
+        # low bounds, as a busy machine sends and serves fewer requests
+        assert found["requests"] > 20 and found["answers"]["served"] > 5
         assert set(found["latency_ms"]) == {"lobby-read", "race-entry"}
         assert (tmp_path / "report" / "tape.jsonl").stat().st_size > 10000
         lines = (tmp_path / "report" / "agent-1.log").read_text().splitlines()
@@ -130,13 +131,13 @@
     run(work)
 
 
-def test_a_day_with_a_violation_ends_with_1(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def broken(*_: object, **__: object) -> play_module.Result:
+def test_a_day_with_a_violation_exits_with_1(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def play_with_violation(*_: object, **__: object) -> play_module.Result:
         report = Report()
         report.violations["effects"].append("op1: took effect 2 times")
         return play_module.Result(play_module.tp.Tape(), report)
 
-    monkeypatch.setattr("otterquay.cli.lab.play_with_processes", broken)
+    monkeypatch.setattr("otterquay.cli.lab.play_with_processes", play_with_violation)
     code, text = call("lab", "play", str(EXAMPLES / "bad-day.hcl"))
     assert code == 1 and "took effect 2 times" in text
     code, text = call("lab", "play", str(EXAMPLE))
@@ -144,7 +145,7 @@
 
 
 @pytest.mark.parametrize("loop", ["uvloop", "asyncio"])
-def test_an_agent_process_ends_in_good_order_on_a_signal(loop: str) -> None:
+def test_an_agent_process_shuts_down_cleanly_on_a_signal(loop: str) -> None:
     async def work() -> None:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -165,12 +166,12 @@
             stderr=asyncio.subprocess.PIPE,
         )
         assert process.stdout and process.stderr
-        said = (await process.stdout.readline()).decode().split()
-        reader, writer = await asyncio.open_connection(*said[1].split(":"))
+        announced = (await process.stdout.readline()).decode().split()
+        reader, writer = await asyncio.open_connection(*announced[1].split(":"))
         process.send_signal(signal.SIGTERM)
         _, err = await process.communicate()
-        told = await reader.read()  # refused where the listener saw it only after the signal
-        assert process.returncode == 0 and (told == b"" or told.startswith(b"HTTP/1.1 503 "))
+        received = await reader.read()  # a 503 if the agent accepted the connection only after the signal
+        assert process.returncode == 0 and (received == b"" or received.startswith(b"HTTP/1.1 503 "))
         events = [json.loads(line)["event"] for line in err.splitlines()]
         assert set(events[events.index("agent_stopped") + 1 :]) <= {"connection_refused"}
         writer.close()
@@ -178,7 +179,7 @@
     run(work)
 
 
-def test_an_agent_that_cannot_have_its_address_says_so() -> None:
+def test_an_agent_whose_address_is_taken_exits_with_a_message() -> None:
     async def work() -> None:
         taken = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
         port = taken.sockets[0].getsockname()[1]
@@ -199,8 +200,8 @@
     run(work)
 
 
-def test_lab_mass_tells_the_five_rules_and_exits_1_when_one_broke(monkeypatch: pytest.MonkeyPatch) -> None:
-    words = (
+def test_lab_mass_reports_the_five_rules_and_exits_1_on_a_violation(monkeypatch: pytest.MonkeyPatch) -> None:
+    arguments = (
         "lab",
         "mass",
         str(EXAMPLE),
@@ -222,10 +223,10 @@
         "--leave",
         "0.1",
     )
-    code, text = call(*words)
+    code, text = call(*arguments)
     found = json.loads(text)
     assert code == 0 and found["served"] > 0 and found["violations"] == dict.fromkeys(RULES, 0)
     assert set(found["checked"]) == set(RULES) and not found["broken"]
     monkeypatch.setattr(Agent, "_give_up", lambda self, job: self._over(job, 0.0))
-    code, text = call(*words)
+    code, text = call(*arguments)
     assert code == 1 and "no answer from agent" in text and json.loads(text.splitlines()[0])["broken"]
--- a/tests/test_one_clock.py
+++ b/tests/test_forbidden_imports.py
@@ -1,4 +1,4 @@
-"""One clock, one network: the program's code may run on a simulated loop, so it touches nothing else."""
+"""The code may run on a simulated event loop, so it uses no other clock, network, thread or randomness."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 import otterquay
 
 ROOT = Path(otterquay.__file__).parent
-# these speak to the machine by their job: processes of the laboratory, the command line, free ports for a run
-MACHINE = {
+# files that need access to the operating system: processes of the lab, the command line, allocation of free ports
+SYSTEM_ACCESS_FILES = {
     "lab/hosts.py",
     "lab/play.py",
     "lab/ports.py",
@@ -21,9 +21,9 @@
     "cli/lab.py",
     "cli/standin.py",
 }
-# the one place that hands in the wall clock and takes signals; the one that asks the kernel what lies at a socket
-SEAMS = {"node/__main__.py": {"import time", "import signal", "time"}, "agent/sockets.py": {"import select"}}
-FORBIDDEN = {
+# node/__main__.py passes in the wall clock and handles signals; agent/sockets.py polls sockets for pending events
+ALLOWED_USES = {"node/__main__.py": {"import time", "import signal", "time"}, "agent/sockets.py": {"import select"}}
+FORBIDDEN_MODULES = {
     "time",
     "threading",
     "socket",
@@ -41,7 +41,7 @@
 SOURCES = sorted(str(p.relative_to(ROOT)) for p in ROOT.rglob("*.py"))
 
 
-def faults(source: str, machine: bool = False) -> list[str]:
+def forbidden_uses(source: str, system_access: bool = False) -> list[str]:
     found = []
     for node in ast.walk(ast.parse(source)):
         names: list[str] = []
@@ -49,8 +49,8 @@
             names = [a.name.split(".")[0] for a in node.names]
         elif isinstance(node, ast.ImportFrom) and node.module:
             names = [node.module.split(".")[0]]
-        if not machine:
-            found += [f"import {n}" for n in names if n in FORBIDDEN]
+        if not system_access:
+            found += [f"import {n}" for n in names if n in FORBIDDEN_MODULES]
         if isinstance(node, ast.Attribute):
             owner = node.value.id if isinstance(node.value, ast.Name) else ""
             if owner == "random" and node.attr != "Random":
@@ -61,22 +61,22 @@
 
 
 @pytest.mark.parametrize("path", SOURCES)
-def test_no_other_clock_network_or_chance(path: str) -> None:
-    found = faults((ROOT / path).read_text(), path in MACHINE)
-    assert not [fault for fault in found if fault not in SEAMS.get(path, set())]
+def test_no_other_clock_network_or_randomness(path: str) -> None:
+    found = forbidden_uses((ROOT / path).read_text(), path in SYSTEM_ACCESS_FILES)
+    assert not [use for use in found if use not in ALLOWED_USES.get(path, set())]
 
 
-def test_what_asks_the_kernel_never_waits_and_asks_nothing_else() -> None:
+def test_the_poll_of_sockets_never_blocks_and_is_the_only_use_of_select() -> None:
     tree = ast.parse((ROOT / "agent/sockets.py").read_text())
     calls = [node for node in ast.walk(tree) if isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)]
     polls = [node for node in calls if node.func.attr == "poll" and node.args]
     assert len(polls) == 1 and [ast.literal_eval(argument) for argument in polls[0].args] == [0]
-    of_select = {
+    select_attributes = {
         node.attr
         for node in ast.walk(tree)
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "select"
     }
-    assert {name for name in of_select if not name.startswith("POLL")} == {"poll"}
+    assert {name for name in select_attributes if not name.startswith("POLL")} == {"poll"}
 
 
 @pytest.mark.parametrize(
@@ -92,11 +92,11 @@
         "import datetime",
     ],
 )
-def test_the_scan_finds_what_it_is_for(source: str) -> None:
-    assert faults(source)
+def test_the_scan_finds_each_forbidden_use(source: str) -> None:
+    assert forbidden_uses(source)
 
 
-def test_the_bench_adapter_stays_light() -> None:
+def test_the_bench_adapter_imports_no_heavy_libraries() -> None:
     import subprocess
     import sys
 
--- a/tests/test_settings_elsewhere.py
+++ b/tests/test_rare_settings.py
@@ -1,4 +1,4 @@
-"""Settings that today's deployments do not use: the module keeps the rules and does something sensible."""
+"""Settings that no present deployment uses: the decision module keeps the rules and behaves sensibly."""
 
 from dataclasses import replace
 
@@ -8,19 +8,19 @@
 from otterquay import interface as it
 
 
-def test_a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() -> None:
+def test_discovery_by_ask_subscribes_once_and_again_after_a_failure() -> None:
     drive = Drive(settings(discovery=it.Discovery.ASK))
     assert drive.all.count(it.Watch(True)) == 1
     for _ in range(30):
         drive.tick()
-    assert drive.all.count(it.Watch(True)) == 1, "a subscription that stands is not asked for again"
+    assert drive.all.count(it.Watch(True)) == 1, "an active subscription is not requested again"
     drive.give(it.ServerList(it.ListKind.FAILED, 0, ()))
     for _ in range(11):
         drive.tick()
     assert drive.all.count(it.Watch(True)) == 2
 
 
-def test_a_failed_list_leaves_the_old_one_in_force() -> None:
+def test_the_old_list_stays_in_use_after_a_failed_one() -> None:
     drive = Drive(servers=2)
     drive.give(it.ServerList(it.ListKind.FAILED, 0, ()))
     assert sends(drive.ask()[1])
@@ -32,7 +32,7 @@
     assert all(sends(drive.ask(tenant=0)[1]) for _ in range(4))
 
 
-def test_a_streamed_answer_that_has_begun_is_left_alone() -> None:
+def test_a_streamed_answer_that_has_begun_is_neither_cancelled_nor_retried() -> None:
     streamed = replace(settings().classes[0], streamed=True)
     drive = Drive(settings(classes=(streamed,)))
     request, actions = drive.ask(budget=500.0)
@@ -49,7 +49,7 @@
     assert drive.end(sends(actions)[0], it.Status.FULL) == [it.Refuse(request, 0.0)]
 
 
-def test_a_single_server_that_is_cold_gets_a_trickle_and_the_rest_is_answered() -> None:
+def test_a_single_cold_server_gets_few_requests_and_the_rest_are_refused_or_failed() -> None:
     drive = Drive(servers=0)
     drive.list(entry(1, started=drive.now))
     asked = [drive.ask()[0] for _ in range(20)]
@@ -64,7 +64,10 @@
 
 @pytest.mark.parametrize("agents", [1, 3])
 def test_a_quiet_agent_serves_its_only_server_at_once_after_a_restart(agents: int) -> None:
-    """Turns at cold servers are for fleets that would push them over: any server bears a few requests a window."""
+    """Agents take turns at cold servers only where the fleet would overload them.
+
+    Any server can take a few requests per window.
+    """
     drive = Drive(settings(agents=agents), servers=1)
     drive.end(sends(drive.ask()[1])[0])
     for _ in range(120):
@@ -73,7 +76,7 @@
     assert sends(drive.ask()[1])
 
 
-def test_events_that_nobody_asked_for_are_passed_over() -> None:
+def test_unsolicited_events_are_ignored() -> None:
     drive = Drive()
     assert drive.give(it.ProbeResult(1, it.Status.OK, 1.0, ())) == []
     assert drive.give(it.Outcome(9999, 1, 0, it.Status.OK, 5.0, True, ())) == []
