--- a/otterquay/agent/feeds.py
+++ b/otterquay/agent/feeds.py
@@ -61,7 +61,7 @@
 
     def later(self, id: str) -> bool:
         """True, once, for an event later than all before; ValueError for an id that is none."""
-        epoch, number = news.parse_id(id)
+        epoch, number = news.parse_event_id(id)
         if epoch == self.epoch and number <= self.number:
             return False
         self.epoch, self.number = epoch, number
@@ -95,7 +95,7 @@
 
     def heard(self, id: str, fleet: news.FleetNews, now_ms: float) -> it.ServerList | None:
         """The module's event for news, None for what was heard before; Gap for changes to another list."""
-        epoch, version = news.parse_id(id)
+        epoch, version = news.parse_event_id(id)
         if version != fleet.version:
             raise ValueError(f"event {id} holds version {fleet.version}")
         if epoch == self._epoch and version <= self._version:
@@ -220,7 +220,7 @@
     def voted(self, status: it.Status, answer: news.VoteAnswer | None, now_ms: float) -> it.StageNews:
         """The module's event for the end of a vote; a state that is behind what is held gives way to that."""
         if answer is not None:
-            epoch, number = news.parse_id(answer.id)
+            epoch, number = news.parse_event_id(answer.id)
             if self._held is None or epoch != self._held[0] or number >= self._held[1]:
                 self._hold(answer.id, answer.state, now_ms)
             status = it.Status.OK if answer.status == "ok" else it.Status.MOOT
@@ -244,7 +244,7 @@
         return standing(stage.build, stage.stage, PHASES[stage.phase], stage.cap)
 
     def _hold(self, id: str, stage: news.Stage, now_ms: float) -> None:
-        epoch, number = news.parse_id(id)
+        epoch, number = news.parse_event_id(id)
         self._held = epoch, number, stage, now_ms
 
     @staticmethod
--- a/otterquay/agent/web.py
+++ b/otterquay/agent/web.py
@@ -201,7 +201,7 @@
             return it.Status.FULL if answer.status == 429 else it.Status.ERROR, None
         try:
             found: news.VoteAnswer = msgspec.json.decode(answer.body, type=news.VoteAnswer)
-            news.parse_id(found.id)
+            news.parse_event_id(found.id)
             self.book.check(found.state)
         except (ValueError, msgspec.MsgspecError) as error:
             self._log.warning("vote_answer_malformed", error=str(error))
--- a/otterquay/node/__main__.py
+++ b/otterquay/node/__main__.py
@@ -23,18 +23,18 @@
 
 from otterquay.node.agent import Node  # noqa: E402
 from otterquay.node.config import ConfigError, NodeConfig, load_config  # noqa: E402
-from otterquay.node.lines import Lines  # noqa: E402
+from otterquay.node.json_log import JsonLogger  # noqa: E402
 
 
 async def serve(path: str, config: NodeConfig) -> None:
     """Run the agent to its planned end."""
     loop = asyncio.get_running_loop()
-    log = Lines(sys.stderr, loop.time, os.environ.get("OTTERQUAY_LOG", "info"))
+    log = JsonLogger(sys.stderr, loop.time, os.environ.get("OTTERQUAY_LOG", "info"))
     node, ended = Node(config, random.Random(config.seed), time.time, log), asyncio.Event()
 
     def reload() -> None:
         try:
-            node.move(load_config(path))
+            node.reload(load_config(path))
         except ConfigError as error:
             log.error("reload_refused", reason=str(error))
 
@@ -49,7 +49,7 @@
     if signal.SIGHUP in _EARLY:
         reload()
     await ended.wait()
-    await node.leave()
+    await node.shut_down()
 
 
 def main() -> int:
--- a/otterquay/node/agent.py
+++ b/otterquay/node/agent.py
@@ -18,7 +18,7 @@
 from otterquay.node.front import Front
 from otterquay.node.peers import PeerSocket
 from otterquay.node.platform import Platform
-from otterquay.node.speech import RespSpeech
+from otterquay.node.resp_codec import RespCodec
 from otterquay.policy.agent import Agent
 
 KEPT_BACK = 32  # descriptors for listener, feeds, files and the loop
@@ -32,7 +32,7 @@
 DEADLINE_MOST_S, LINGER_S, FLUSH_S = 3.0, 0.5, 0.15
 
 
-def end_within_s(settings: it.Settings) -> float:
+def shutdown_time_s(settings: it.Settings) -> float:
     """Seconds from SIGTERM to the last answer of a planned end."""
     longest = max(cls.deadline_ms for cls in settings.classes) / 1e3
     return LINGER_S + min(longest, DEADLINE_MOST_S)
@@ -53,7 +53,7 @@
     ) -> None:
         settings, free = config.settings, config.sockets - KEPT_BACK
         clients = int(free * CLIENTS_PART)
-        speech = RespSpeech(config.report_names)
+        speech = RespCodec(config.report_names)
         pool = Pool(
             config.connect_timeout_ms / 1e3,
             max(settings.limits.keepalive_ms * IDLE_PART, 50.0) / 1e3,
@@ -85,7 +85,7 @@
         if self._config.known and (known := self.list.known(self._config.known, now_ms)):
             yield known
 
-    def move(self, config: NodeConfig) -> None:
+    def reload(self, config: NodeConfig) -> None:
         """Follow discovery and platform at the addresses of a new configuration; nothing else of it may change."""
         fixed = [
             f.name
@@ -98,9 +98,9 @@
         self.list.move(config.discovery)
         self.platform.move(config.platform)
 
-    async def leave(self) -> None:
+    async def shut_down(self) -> None:
         """A planned end, over before SIGKILL may come: all is taken for a moment, then what is held is answered."""
-        left = end_within_s(self.settings)
+        left = shutdown_time_s(self.settings)
         self.drain_until = self._now() + left
         self.log.info("agent_leaving", held=len(self.held), within_s=left)
         await asyncio.sleep(LINGER_S)
--- a/otterquay/node/client.py
+++ b/otterquay/node/client.py
@@ -14,7 +14,7 @@
 from otterquay.agent.ports import Final
 from otterquay.agent.sockets import peer_closed, unread
 from otterquay.agent.write_stall import WriteStall
-from otterquay.node.asks import QUERY, SUBMIT
+from otterquay.node.request_reader import QUERY, SUBMIT
 from otterquay.protocol import resp
 from otterquay.protocol.http import ProtocolError
 
@@ -22,12 +22,17 @@
     from otterquay.node.front import Front
 
 PIPELINED_MOST = 32  # commands of one connection without an answer
-HALF_S, HALF_MOST_S = 1.5, 2.5  # a command that has begun: since its last bytes; in all, as bad ones get 3 s
-STUCK_S = 1.5  # answers that the client does not take
-ENDING_S = 1.0  # what stands before an error, then it is given up
+INCOMPLETE_COMMAND_IDLE_S, MAX_INCOMPLETE_COMMAND_S = (
+    1.5,
+    2.5,
+)  # a command that has begun: since its last bytes; in all, as bad ones get 3 s
+WRITE_STALL_TIMEOUT_S = 1.5  # answers that the client does not take
+ENDING_TIMEOUT_S = 1.0  # what stands before an error, then it is given up
 IDLE_S = 2.0  # a connection without a request: some say nothing, some ask once and keep theirs for good
-WRITE_MOST = 262144  # bytes that a client has not taken, over which it is not read
-DISCARD_MOST = 1048576  # bytes read and dropped of one that has broken the protocol, so that its close is seen
+MAX_UNSENT_BYTES = 262144  # bytes that a client has not taken, over which it is not read
+MAX_DISCARDED_BYTES = (
+    1048576  # bytes read and dropped of one that has broken the protocol, so that its close is seen
+)
 
 
 class State(Enum):
@@ -102,8 +107,8 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take a place, of the idlest if need be."""
         self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's are none by their class
-        self.read_at = self.idle_since = self.front.awake()
-        transport.set_write_buffer_limits(high=WRITE_MOST)
+        self.read_at = self.idle_since = self.front.active_time()
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         self.front.came(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -133,7 +138,7 @@
         """Take the commands that are whole; a draining agent closes only after the last of them."""
         if self.state is not State.OPEN:
             return self._drop(len(data))
-        self.read_at = self.idle_since = now = self.front.awake()
+        self.read_at = self.idle_since = now = self.front.active_time()
         commands = self.parser.feed(data)
         if len(self.slots) + len(commands) > PIPELINED_MOST:
             return self.doom(f"over {PIPELINED_MOST} commands without an answer")
@@ -152,7 +157,7 @@
 
     def _drop(self, size: int) -> None:
         self.bytes_dropped += size
-        if self.bytes_dropped > DISCARD_MOST and self.state is State.ENDING:
+        if self.bytes_dropped > MAX_DISCARDED_BYTES and self.state is State.ENDING:
             self.give_up()
 
     def _command(self, words: list[bytes]) -> None:
@@ -202,7 +207,7 @@
             data = b"".join(ready)
             self.transport.write(data)
             self.write_stall.written += len(data)
-            self.idle_since = self.front.awake()
+            self.idle_since = self.front.active_time()
         # who was served may be let go; who was not may ask again at once, and goes when it has not
         served = bool(ready) and not ready[-1].startswith(b"-")
         done = self.front.draining and served and not self.parser.started
@@ -223,7 +228,7 @@
     def doom(self, reason: str) -> None:
         """Take nothing more: answer what is owed, say why, end. It is read on, so that its close is seen."""
         self.front.log.info("client_ended", reason=reason)
-        self.state, self.ending_since = State.ENDING, self.front.awake()
+        self.state, self.ending_since = State.ENDING, self.front.active_time()
         self.slots.append(Slot(self, b"", resp.error(f"ERR {reason}")))
         self.flush()
 
@@ -235,18 +240,20 @@
                 slot.answer = b"-ERR failed\r\n"
         self.flush()
 
-    def swept(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """A look at its patience: it may say nothing, never finish a command, or never read."""
         unsent = self.transport.get_write_buffer_size()
-        if self.write_stall.stuck(unsent, now) >= STUCK_S:
+        if self.write_stall.stuck(unsent, now) >= WRITE_STALL_TIMEOUT_S:
             self.front.log.info("client_ended", reason="does not read", unsent=unsent)
             self.transport.abort()
         elif self.state is State.CLOSED:
             return
         elif self.state is State.ENDING:
-            if now - self.ending_since >= ENDING_S:
+            if now - self.ending_since >= ENDING_TIMEOUT_S:
                 self.give_up()
-        elif self.half_since is not None and (now - self.read_at >= HALF_S or now - self.half_since >= HALF_MOST_S):
+        elif self.half_since is not None and (
+            now - self.read_at >= INCOMPLETE_COMMAND_IDLE_S or now - self.half_since >= MAX_INCOMPLETE_COMMAND_S
+        ):
             if not unread(self.transport):
                 self.doom("half a command")
         elif now - self.idle_since >= IDLE_S and self.idle():
--- a/otterquay/node/config.py
+++ b/otterquay/node/config.py
@@ -13,7 +13,7 @@
 from otterquay import interface as it
 from otterquay.benchlink.settings import decode
 from otterquay.benchlink.wire import WireError
-from otterquay.protocol.platform import PHASES, State, read_state
+from otterquay.protocol.platform import PHASES, State, parse_state
 
 FILE_MOST = 16 * 1024 * 1024
 SOCKETS_LEAST = 64
@@ -124,7 +124,7 @@
             b"%.3f" % max(told.old_ms, 0.0),
         ]
         try:
-            state = read_state(words, len(settings.rollout.stage_cap))
+            state = parse_state(words, len(settings.rollout.stage_cap))
         except ValueError as error:
             raise ConfigError(f"pipeline.news: {error}; modes are {b', '.join(PHASES).decode()}") from None
     return NodeConfig(
--- a/otterquay/node/discovery.py
+++ b/otterquay/node/discovery.py
@@ -17,11 +17,13 @@
 from otterquay.protocol.targets import TargetReader
 
 PATH = "/api/targets"
-WAIT_MS = 3000  # a watch; short, as only its end shows that a silent source is not merely quiet
-PATIENCE_S = 1.0  # for an answer beyond the wait that was asked for; doubled for a whole list that did not fit it
+POLL_WAIT_MS = 3000  # a watch; short, as only its end shows that a silent source is not merely quiet
+ANSWER_TIMEOUT_S = (
+    1.0  # for an answer beyond the wait that was asked for; doubled for a whole list that did not fit it
+)
 PATIENCE_MOST_S = 8.0
 BACKOFF_S = (0.02, 0.5)  # after a broken connection, at random; doubled from the least up
-LIST_MOST = 8 * 1024 * 1024  # bytes of one answer
+MAX_LIST_BYTES = 8 * 1024 * 1024  # bytes of one answer
 
 
 class PolledList:
@@ -41,7 +43,7 @@
         self.book, self._reader = FleetBook(zones), TargetReader(list(kinds))
         self._task: asyncio.Task[None] | None = None
         self._generation, self._came = -1, False  # and whether this connection brought another
-        self._patience_s = PATIENCE_S  # for a whole list
+        self._patience_s = ANSWER_TIMEOUT_S  # for a whole list
 
     @property
     def entries(self) -> Mapping[int, news.Entry]:
@@ -95,31 +97,31 @@
         """One connection: the whole list, then watches until it breaks; returns why it ended."""
         self._came = False
         host, port = split_address(self._address)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
         try:
-            parser, target, wait_s = ResponseParser(max_body=LIST_MOST), PATH, 0.0
+            parser, target, wait_s = ResponseParser(max_body=MAX_LIST_BYTES), PATH, 0.0
             while True:
                 writer.write(write_request(b"GET", target.encode(), [(b"host", self._address.encode())]))
                 answer = await self._patiently(reader, parser, wait_s)
                 self._take(answer, wait_s == 0.0)
                 if not answer.keep_alive:
                     return "the connection ended"
-                target, wait_s = f"{PATH}?after={self._generation}&wait_ms={WAIT_MS}", WAIT_MS / 1e3
+                target, wait_s = f"{PATH}?after={self._generation}&wait_ms={POLL_WAIT_MS}", POLL_WAIT_MS / 1e3
         finally:
             writer.close()
 
     async def _patiently(self, reader: asyncio.StreamReader, parser: ResponseParser, wait_s: float) -> HttpResponse:
         """An answer in time: a silent source is left. A whole list of which some had come gets longer next time."""
         try:
-            async with asyncio.timeout(wait_s + PATIENCE_S if wait_s else self._patience_s):
+            async with asyncio.timeout(wait_s + ANSWER_TIMEOUT_S if wait_s else self._patience_s):
                 answer = await self._answer(reader, parser)
         except TimeoutError:
             if parser.started and not wait_s:
                 self._patience_s = min(2 * self._patience_s, PATIENCE_MOST_S)
             raise
         if not wait_s:
-            self._patience_s = PATIENCE_S
+            self._patience_s = ANSWER_TIMEOUT_S
         return answer
 
     async def _answer(self, reader: asyncio.StreamReader, parser: ResponseParser) -> HttpResponse:
--- a/otterquay/node/front.py
+++ b/otterquay/node/front.py
@@ -14,11 +14,11 @@
 from otterquay.agent.ports import Taker
 from otterquay.agent.standstill import BEAT_S, Standstill
 from otterquay.logs import Logger
-from otterquay.node.asks import AskReader
 from otterquay.node.client import Client
+from otterquay.node.request_reader import RequestReader
 from otterquay.protocol import resp
 
-SETTLED_S = 0.1  # idle for less, a connection may be about to ask; none new for so long, none crosses a close
+QUIET_PERIOD_S = 0.1  # idle for less, a connection may be about to ask; none new for so long, none crosses a close
 SWEEP_S = 0.1
 LET_GO_S = 0.005  # between the closes of a drain
 
@@ -37,7 +37,7 @@
     ids: set[bytes] = field(default_factory=set)  # of open requests
     draining: bool = False
     standstill: Standstill = field(default_factory=lambda: Standstill(0.0))
-    reader: AskReader = field(init=False)
+    reader: RequestReader = field(init=False)
     _moved: float = 0.0  # when a connection came or went last
     _awake: float = 0.0
     _swept: float = 0.0
@@ -48,14 +48,14 @@
     _letting_go: asyncio.TimerHandle | None = None
 
     def __post_init__(self) -> None:
-        self.reader = AskReader.of(self.settings)
+        self.reader = RequestReader.of(self.settings)
 
     def now(self) -> float:
         """Seconds of the loop's clock."""
         assert self._loop
         return self._loop.time()
 
-    def awake(self) -> float:
+    def active_time(self) -> float:
         """Seconds for which the agent could read: while it stood still, no client's patience with it ran out."""
         return self._awake + min(self.now() - self._swept, 2 * SWEEP_S)
 
@@ -80,14 +80,14 @@
         """Close the idlest connection that is not about to ask, one a turn: what comes between the look at a socket
         and its close crosses the close, and with many at once that takes long."""
         assert self._loop
-        settled = self.awake() - SETTLED_S
+        settled = self.active_time() - QUIET_PERIOD_S
         if client := self._idlest([c for c in self.clients if c.idle_since <= settled]):
             client.close()
         self._letting_go = self._loop.call_later(LET_GO_S, self._let_go)
 
     def drained(self) -> bool:
         """Whether all connections have gone, and no new one has come for a moment."""
-        return not self.clients and self.now() - self._moved >= SETTLED_S
+        return not self.clients and self.now() - self._moved >= QUIET_PERIOD_S
 
     def close(self) -> None:
         """Close all that is still open, the listener first."""
@@ -115,7 +115,7 @@
     def shed(self, newest: Client) -> None:
         """One too many: end the idlest, or the new one when all are at work and no more may be."""
         must = len(self.clients) > self.most
-        before = self.awake() - (0.0 if must else SETTLED_S)
+        before = self.active_time() - (0.0 if must else QUIET_PERIOD_S)
         client = self._idlest([c for c in self.clients if c.idle_since < before and c is not newest]) or newest
         if client is newest and not must:
             return
@@ -139,7 +139,7 @@
     def _sweep(self) -> None:
         """Look at every client's patience. One timer for all."""
         assert self._loop
-        self._awake, self._swept = self.awake(), self.now()
+        self._awake, self._swept = self.active_time(), self.now()
         for client in list(self.clients):
-            client.swept(self._awake)
+            client.check_timeouts(self._awake)
         self._sweeper = self._loop.call_later(SWEEP_S, self._sweep)
--- a/otterquay/node/lines.py
+++ b/otterquay/node/json_log.py
@@ -15,11 +15,11 @@
 from otterquay.agent.sockets import takes
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-LINES_MOST = 100  # a second, and as many errors; what is over is counted and the count written
-LINE_MOST = 4095  # bytes: a pipe that takes any takes a page; of a longer line its event is written alone
+MAX_LINES_PER_S = 100  # a second, and as many errors; what is over is counted and the count written
+MAX_LINE_BYTES = 4095  # bytes: a pipe that takes any takes a page; of a longer line its event is written alone
 
 
-class Lines:
+class JsonLogger:
     """A logger with the methods that the program's parts call; `clock` gives seconds, and is theirs to read."""
 
     def __init__(self, stream: TextIO, clock: Callable[[], float], level: str = "info") -> None:
@@ -62,7 +62,7 @@
                 if self._put({"at": round(now, 3), "level": "warning", **left_out}):
                     self._left_out = 0
         line = {"at": round(now, 3), "level": level, "event": event, **fields}
-        if self._written[error] >= LINES_MOST or not self._put(line):
+        if self._written[error] >= MAX_LINES_PER_S or not self._put(line):
             self._left_out += 1
         else:
             self._written[error] += 1
@@ -70,7 +70,7 @@
     def _put(self, line: dict[str, Any]) -> bool:
         """Write a line; False when the stream does not take it now."""
         data = msgspec.json.encode(line, enc_hook=str)
-        if len(data) >= LINE_MOST:
+        if len(data) >= MAX_LINE_BYTES:
             short = {"at": line["at"], "level": line["level"], "event": line["event"], "bytes_left_out": len(data)}
             data = msgspec.json.encode(short)
         try:
--- a/otterquay/node/asks.py
+++ b/otterquay/node/request_reader.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class AskReader:
+class RequestReader:
     """Turns commands into asks by the names that the settings give."""
 
     classes: dict[bytes, int]
@@ -23,8 +23,8 @@
     settings: it.Settings
 
     @staticmethod
-    def of(settings: it.Settings) -> AskReader:
-        return AskReader(
+    def of(settings: it.Settings) -> RequestReader:
+        return RequestReader(
             {c.name.encode(): i for i, c in enumerate(settings.classes)},
             {t.name.encode(): i for i, t in enumerate(settings.tenants)},
             settings,
--- a/otterquay/node/speech.py
+++ b/otterquay/node/resp_codec.py
@@ -10,7 +10,7 @@
 from otterquay.protocol import resp
 
 
-class RespSpeech:
+class RespCodec:
     """The platform's words; `names` are the load report's fields with their spellings."""
 
     runs_when_whole = True  # an appliance begins a command once its last byte has come
--- a/otterquay/protocol/news.py
+++ b/otterquay/protocol/news.py
@@ -110,7 +110,7 @@
     return f"{epoch}:{number}"
 
 
-def parse_id(text: str) -> tuple[str, int]:
+def parse_event_id(text: str) -> tuple[str, int]:
     """Epoch and number of an event id; ValueError for anything else."""
     epoch, colon, number = text.rpartition(":")
     if not colon or not number.isdigit():
--- a/otterquay/protocol/platform.py
+++ b/otterquay/protocol/platform.py
@@ -60,7 +60,7 @@
     state: State | None
 
 
-def read_state(words: list[bytes], stages: int) -> State:
+def parse_state(words: list[bytes], stages: int) -> State:
     """Five words; Noise for anything but a state that can be."""
     if len(words) != 5 or words[2] not in PHASES or not all(_NUMBER.fullmatch(words[i]) for i in (0, 1, 3, 4)):
         raise Noise(b" ".join(words)[:80].decode("latin-1"))
@@ -79,9 +79,9 @@
         if len(words) == 1 or words[1] in _OTHER:
             return Told(None)
         if words[1] == b"progress":
-            return Told(read_state(words[2:], stages))
+            return Told(parse_state(words[2:], stages))
     elif words[0] == b"OK":
-        return Answered(it.Status.OK, read_state(words[1:], stages) if len(words) > 1 else None)
+        return Answered(it.Status.OK, parse_state(words[1:], stages) if len(words) > 1 else None)
     elif words[0] == b"ERR" and len(words) >= 2 and words[1] in ERRORS:
         return Answered(ERRORS[words[1]], None)
     raise Noise(line[:80].decode("latin-1"))
--- a/otterquay/protocol/targets.py
+++ b/otterquay/protocol/targets.py
@@ -41,7 +41,7 @@
     instances: list[msgspec.Raw]
 
 
-def number_of(instance: str) -> int:
+def server_number(instance: str) -> int:
     """A server's number, the same at every agent."""
     return int.from_bytes(blake2b(instance.encode(), digest_size=4).digest())
 
@@ -77,7 +77,7 @@
     def _entry(self, found: _Instance, wall_ms: float) -> news.Entry:
         if found.lifecycle != "terminated" and not _NUMERIC.fullmatch(found.host_port):
             raise ValueError(f"{found.host_port!r} is no address")
-        number = number_of(found.instance_id)
+        number = server_number(found.instance_id)
         if self._names.setdefault(number, found.instance_id) != found.instance_id:
             raise ValueError(f"its number is that of {self._names[number]}")
         if found.lifecycle == "terminated":
--- a/tests/crossings/forcing.py
+++ b/tests/crossings/forcing.py
@@ -16,7 +16,7 @@
 from otterquay.agent.outcomes import End
 from otterquay.logs import silent
 from otterquay.node.front import Front
-from otterquay.node.speech import RespSpeech
+from otterquay.node.resp_codec import RespCodec
 from tests.noderig import Rig, served
 
 Work = Callable[[], Coroutine[Any, Any, None]]
@@ -49,7 +49,7 @@
     """An idle connection to each appliance, which may be used again at once; how many requests that took."""
     rig.node.pool.rest_s = 0.0
     while not all(one.got for one in rig.appliances):
-        assert await rig.say(rig.ask())
+        assert await rig.exchange(rig.encode_request())
     for writer in rig.writers:
         writer.close()
     await rig.until(lambda: not rig.node.front.clients)
@@ -119,7 +119,7 @@
     """A pool on its own, and how its calls ended."""
 
     def __init__(self) -> None:
-        self.pool = Pool(5.0, 60.0, RespSpeech([]), silent())
+        self.pool = Pool(5.0, 60.0, RespCodec([]), silent())
         self.ends: list[End] = []
 
     def call(self, address: str, payload: bytes = b"*1\r\n$1\r\nx\r\n") -> Call:
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -21,7 +21,7 @@
 async def attempt_connecting(rig: Rig, gate: Gate) -> tuple[asyncio.StreamReader, str, str]:
     """A request is taken and its attempt connects: the client's side, the name of that server and of the other."""
     reader, writer = await rig.connect()
-    writer.write(rig.ask(id="one", d=6000))
+    writer.write(rig.encode_request(id="one", d=6000))
     await rig.until(lambda: gate.waiting)
     at = next(i for i, one in enumerate(rig.appliances) if one.address == gate.waiting[0])
     return reader, f"s-{at}", f"s-{1 - at}"
@@ -77,13 +77,13 @@
 ) -> None:
     async def work() -> None:
         async with Rig(count=1, limits=LATE) as rig:
-            rig.desk.tell(b"2 0 testing 1 5")
+            rig.desk.publish(b"2 0 testing 1 5")
             rig.discovery.set("s-0", version_no=2, startedAtMs=1.0)  # long ago: it is warm
             await rig.until(lambda: rig.seen(it.StageNews)[-1].build == 2 and len(rig.seen(it.ServerList)) > 2)
             with Gate(rig) as gate:
                 reader, _, _ = await attempt_connecting(rig, gate)
                 heard = len(rig.seen(it.StageNews))
-                rig.desk.tell(state)
+                rig.desk.publish(state)
                 await rig.until(lambda: len(rig.seen(it.StageNews)) > heard)
                 gate.open.set()
                 said = await answer(reader)
@@ -98,7 +98,7 @@
         async with Rig(count=1, limits=LATE) as rig:
             with Gate(rig) as gate:
                 plain = socket.create_connection(rig.address)
-                plain.sendall(rig.ask(id="left", d=6000))
+                plain.sendall(rig.encode_request(id="left", d=6000))
                 await rig.until(lambda: gate.waiting)
                 (client,) = rig.node.front.clients
                 (call,) = rig.node.pool.connecting
--- a/tests/crossings/test_clients.py
+++ b/tests/crossings/test_clients.py
@@ -11,7 +11,7 @@
 from otterquay.agent.sockets import peer_closed
 from otterquay.node import client as clients
 from tests.crossings.forcing import arrived, at, holding, run, warm
-from tests.noderig import SETTINGS, Rig, answer, quiet, raw, served
+from tests.noderig import SETTINGS, Rig, answer, answer_bytes, never_answer, served
 
 
 def test_an_attempt_whose_client_left_while_it_connected_never_begins() -> None:
@@ -25,7 +25,7 @@
             rig.discovery.set("s-0", hostPort=address)
             await rig.until(lambda: address in {e.address for e in rig.node.list.entries.values()})
             _, writer = await rig.connect()
-            writer.write(rig.ask(id="left", d=6000))
+            writer.write(rig.encode_request(id="left", d=6000))
             await rig.until(lambda: rig.node.pool.connecting)
             writer.close()
             await rig.until(lambda: rig.seen(it.Outcome) and not rig.node.pool.connecting)  # it ends a turn later
@@ -43,7 +43,7 @@
             before = await warm(rig)
             held = holding(rig)
             plain = socket.create_connection(rig.address)
-            plain.sendall(rig.ask(id="left"))
+            plain.sendall(rig.encode_request(id="left"))
             await rig.until(lambda: held)
             (client,) = rig.node.front.clients
             (attempt,) = (c for c in rig.node.pool.open if c.call)
@@ -59,13 +59,13 @@
 
 
 def test_the_close_of_a_client_that_broke_the_protocol_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "ENDING_S", 1e9)
+    monkeypatch.setattr(clients, "ENDING_TIMEOUT_S", 1e9)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
             held = holding(rig)
             _, writer = await rig.connect()
-            writer.write(rig.ask(id="one") + b"noise\r\n")
+            writer.write(rig.encode_request(id="one") + b"noise\r\n")
             await rig.until(lambda: held)
             writer.write(b"more noise")
             writer.close()
@@ -76,15 +76,15 @@
 
 
 def test_a_client_that_floods_after_it_broke_the_protocol_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "ENDING_S", 1e9)
+    monkeypatch.setattr(clients, "ENDING_TIMEOUT_S", 1e9)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
             held = holding(rig)
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="one") + b"noise\r\n")
+            writer.write(rig.encode_request(id="one") + b"noise\r\n")
             await rig.until(lambda: held)
-            writer.write(b"x" * 2 * clients.DISCARD_MOST)
+            writer.write(b"x" * 2 * clients.MAX_DISCARDED_BYTES)
             assert await answer(reader) in (b"-ERR failed", b"")
             await rig.until(lambda: rig.seen(it.Abandoned) and not rig.node.front.clients)
 
@@ -92,18 +92,18 @@
 
 
 def test_the_close_of_a_client_that_takes_no_answers_is_seen(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "STUCK_S", 1e9)
+    monkeypatch.setattr(clients, "WRITE_STALL_TIMEOUT_S", 1e9)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = raw(served(b"x" * 60_000))
+            rig.appliances[0].behave = answer_bytes(served(b"x" * 60_000))
             plain = socket.socket()
             plain.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             plain.connect(rig.address)
             await rig.until(lambda: rig.node.front.clients)
             client = next(iter(rig.node.front.clients))
-            while client.transport.get_write_buffer_size() < clients.WRITE_MOST:
-                plain.sendall(rig.ask())
+            while client.transport.get_write_buffer_size() < clients.MAX_UNSENT_BYTES:
+                plain.sendall(rig.encode_request())
                 await asyncio.sleep(0.01)
             assert not client.transport.is_reading()
             plain.close()
@@ -117,10 +117,10 @@
         async with Rig(count=1) as rig:
             front = rig.node.front
             idle, half, doomed = [await rig.connect() for _ in range(3)]
-            whole = rig.ask(id="half")
+            whole = rig.encode_request(id="half")
             half[1].write(whole[:30])
-            rig.appliances[0].behave = quiet
-            doomed[1].write(rig.ask(id="owed") + b"noise\r\n")
+            rig.appliances[0].behave = never_answer
+            doomed[1].write(rig.encode_request(id="owed") + b"noise\r\n")
             await rig.until(
                 lambda: len(front.clients) == 3 and rig.node.held and any(c.parser.started for c in front.clients)
             )
@@ -129,7 +129,7 @@
             assert len(front.clients) == 3 and rig.node.held, "nobody's time has run out"
             rig.appliances[0].behave = lambda _, w, words: w.write(served(b"for " + words[2]))
             half[1].write(whole[30:])
-            idle[1].write(rig.ask(id="idle"))
+            idle[1].write(rig.encode_request(id="idle"))
             assert (await answer(half[0]), await answer(idle[0])) == (b"for half", b"for idle")
 
     run(work)
@@ -140,22 +140,22 @@
         async with Rig(count=1) as rig:
             front = rig.node.front
             reader, writer = await rig.connect()
-            whole = rig.ask(id="slow")
+            whole = rig.encode_request(id="slow")
             writer.write(whole[:10])
             await rig.until(lambda: any(c.parser.started for c in front.clients))
             client = next(iter(front.clients))
-            client.read_at -= clients.HALF_S  # nothing came for as long as may be
-            client.half_since = client.half_since - clients.HALF_S if client.half_since else None
+            client.read_at -= clients.INCOMPLETE_COMMAND_IDLE_S  # nothing came for as long as may be
+            client.half_since = client.half_since - clients.INCOMPLETE_COMMAND_IDLE_S if client.half_since else None
             writer.write(whole[10:20])
-            await rig.until(lambda: client.read_at > front.awake() - 1)
-            client.swept(front.awake())
+            await rig.until(lambda: client.read_at > front.active_time() - 1)
+            client.check_timeouts(front.active_time())
             assert client.state is clients.State.OPEN
             writer.write(whole[20:])
             assert await answer(reader) == b"for slow"
             writer.write(whole[:10])
             await rig.until(lambda: client.parser.started)
-            client.half_since = (client.half_since or 0.0) - clients.HALF_MOST_S
-            client.swept(front.awake())
+            client.half_since = (client.half_since or 0.0) - clients.MAX_INCOMPLETE_COMMAND_S
+            client.check_timeouts(front.active_time())
             assert client.state is not clients.State.OPEN, "bytes that go on coming are no reason to wait for ever"
             assert await answer(reader) == b"-ERR half a command" and await answer(reader) == b""
 
--- a/tests/crossings/test_cold.py
+++ b/tests/crossings/test_cold.py
@@ -11,7 +11,7 @@
 from otterquay.policy.agent import Agent
 from tests.crossings.forcing import run
 from tests.crossings.wiretape import WireTape, broken
-from tests.noderig import SETTINGS, Appliance, Rig, answer, right
+from tests.noderig import SETTINGS, Appliance, Rig, answer, answer_at_once
 
 COLD = {"coldMs": 3000.0, "startCapacity": 0.4, "fallMultiple": 3.0, "fallMs": 500.0}
 WORK_S = 0.01
@@ -23,7 +23,7 @@
 
     def got(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
         tape.came(one, words)
-        right(one, writer, words)
+        answer_at_once(one, writer, words)
 
     def full(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
         tape.came(one, words)
@@ -39,7 +39,7 @@
         while count < least or loop.time() < begun + least_s:
             count += 1
             tape.asked(id := f"r{tape.now()}-{count}", "lobby-read")
-            writer.write(rig.ask(id=id))
+            writer.write(rig.encode_request(id=id))
             assert await answer(reader)
             served.append(loop.time())
             await asyncio.sleep(0)
--- a/tests/crossings/test_drain.py
+++ b/tests/crossings/test_drain.py
@@ -11,9 +11,9 @@
 from otterquay import interface as it
 from otterquay.agent.lifecycle import DRAIN_LOOK_S, Phase
 from otterquay.agent.sockets import unread
-from otterquay.node.agent import FLUSH_S, LINGER_S, end_within_s
+from otterquay.node.agent import FLUSH_S, LINGER_S, shutdown_time_s
 from otterquay.node.client import State
-from otterquay.node.front import SETTLED_S
+from otterquay.node.front import QUIET_PERIOD_S
 from tests.crossings.forcing import LOOPS, arrived, at, holding, run, warm
 from tests.noderig import CLASSES, Rig, answer, served
 
@@ -22,9 +22,9 @@
     """An agent that drains with one request held: what its appliances keep, that client, and the end to come."""
     held = holding(rig)
     reader, writer = await rig.connect()
-    writer.write(rig.ask(id="one"))
+    writer.write(rig.encode_request(id="one"))
     await rig.until(lambda: held)
-    leaving = asyncio.ensure_future(rig.node.leave())
+    leaving = asyncio.ensure_future(rig.node.shut_down())
     await rig.until(lambda: rig.node.phase is Phase.DRAINING)
     return held, reader, writer, leaving
 
@@ -34,7 +34,12 @@
         async with Rig() as rig:
             rig.node.front.drain()
             reader, writer = await rig.connect()
-            writer.write(b"*1\r\n$4\r\nPING\r\n" + rig.ask(id="a") + b"*1\r\n$3\r\nWHO\r\n" + rig.ask(id="b"))
+            writer.write(
+                b"*1\r\n$4\r\nPING\r\n"
+                + rig.encode_request(id="a")
+                + b"*1\r\n$3\r\nWHO\r\n"
+                + rig.encode_request(id="b")
+            )
             got = [await answer(reader) for _ in range(4)]
             assert got == [b"+PONG", b"for a", b"-ERR unknown command 'WHO'", b"for b"]
             assert await answer(reader) == b"" and not rig.node.held
@@ -48,10 +53,10 @@
             held, reader, writer, leaving = await draining(rig)
             rig.appliances[0].behave = lambda _, w, words: w.write(served(b"for " + words[2]))
             held[0][0].write(served(b"for one"))
-            writer.write(again := rig.ask(id="two"))  # in the turn of the answer
+            writer.write(again := rig.encode_request(id="two"))  # in the turn of the answer
             assert await answer(reader) == b"for one"
             if (got := await answer(reader)) == b"":  # closed under it: sent once more, as clients do
-                got = await rig.say(again)
+                got = await rig.exchange(again)
             assert got == b"for two"
             await leaving
 
@@ -63,7 +68,7 @@
         async with Rig(count=1) as rig:
             held, first, _, leaving = await draining(rig)
             late, late_writer = await rig.connect()
-            late_writer.write(rig.ask(id="late"))
+            late_writer.write(rig.encode_request(id="late"))
             await rig.until(lambda: len(held) == 2)
             for appliance, id in held:
                 appliance.write(served(b"for " + id))
@@ -81,7 +86,7 @@
             held = holding(rig)
             asked = [await rig.connect() for _ in range(3)]
             for number, (_, writer) in enumerate(asked):
-                writer.write(rig.ask(cls="race-entry" if number else "lobby-read", id=f"r{number}"))
+                writer.write(rig.encode_request(cls="race-entry" if number else "lobby-read", id=f"r{number}"))
             await rig.until(lambda: len(held) == 3)
             await rig.node.stop(0.0)
             for reader, _ in asked:
@@ -102,7 +107,7 @@
             before = await warm(rig)
             held = holding(rig)
             _, writer = await rig.connect()
-            writer.write(rig.ask(id="held"))
+            writer.write(rig.encode_request(id="held"))
             await rig.until(lambda: held)
             rig.node.close()
             await asyncio.sleep(0.05)
@@ -121,8 +126,8 @@
         ]
         async with Rig(count=0, requestClasses=classes) as rig:
             kill_s = min(max(deadlines) / 1e3, 3.0) + 0.7  # the protocol page
-            assert end_within_s(rig.node.settings) + FLUSH_S + 2 * DRAIN_LOOK_S <= kill_s, "and time to close"
-            assert end_within_s(rig.node.settings) >= LINGER_S + min(max(deadlines) / 1e3, 3.0)
+            assert shutdown_time_s(rig.node.settings) + FLUSH_S + 2 * DRAIN_LOOK_S <= kill_s, "and time to close"
+            assert shutdown_time_s(rig.node.settings) >= LINGER_S + min(max(deadlines) / 1e3, 3.0)
 
     run(work)
 
@@ -131,11 +136,11 @@
     async def work() -> None:
         async with Rig(count=1) as rig:
             held = holding(rig)
-            leaving = asyncio.ensure_future(rig.node.leave())
+            leaving = asyncio.ensure_future(rig.node.shut_down())
             await asyncio.sleep(0)
             left_ms = (rig.node.drain_until - asyncio.get_running_loop().time()) * 1e3
             _, writer = await rig.connect()
-            writer.write(rig.ask(id="late", d=6000))
+            writer.write(rig.encode_request(id="late", d=6000))
             await rig.until(lambda: held)
             told = dict(item.split(b"=") for item in rig.appliances[0].got[0][3].split(b","))
             assert 0 < int(told[b"d"]) <= left_ms + 1 < 6000
@@ -149,15 +154,15 @@
     async def work() -> None:
         async with Rig(count=1) as rig:
             reader, writer = await rig.connect()
-            whole = rig.ask(id="pieces")
+            whole = rig.encode_request(id="pieces")
             writer.write(whole[:30])
             await rig.until(lambda: any(c.parser.started for c in rig.node.front.clients))
             rig.node.front.drain()
             writer.write(whole[30:])
             assert [await answer(reader), await answer(reader)] == [b"for pieces", b""]
             reader, writer = await rig.connect()
-            whole = rig.ask(id="behind")
-            writer.write(rig.ask(id="first") + whole[:30])
+            whole = rig.encode_request(id="behind")
+            writer.write(rig.encode_request(id="first") + whole[:30])
             assert await answer(reader) == b"for first"
             writer.write(whole[30:])
             assert [await answer(reader), await answer(reader)] == [b"for behind", b""]
@@ -191,8 +196,8 @@
             plain = socket.create_connection(rig.address)
             await rig.until(lambda: rig.node.front.clients)
             client = next(iter(rig.node.front.clients))
-            client.idle_since -= SETTLED_S
-            plain.sendall(rig.ask(id="crosses"))
+            client.idle_since -= QUIET_PERIOD_S
+            plain.sendall(rig.encode_request(id="crosses"))
             arrived(lambda: unread(client.transport))
             rig.node.front.drain()  # before the loop has read it
             plain.setblocking(False)
@@ -210,7 +215,7 @@
             asked = [await rig.connect() for _ in range(5)]
             await rig.until(lambda: len(front.clients) == 5)
             for client in front.clients:
-                client.idle_since -= SETTLED_S
+                client.idle_since -= QUIET_PERIOD_S
             front.drain()
             assert [client.state for client in front.clients].count(State.CLOSED) == 1
             for reader, _ in asked:
@@ -227,10 +232,10 @@
             reader, writer = await rig.connect()
             await rig.until(lambda: front.clients)
             client = next(iter(front.clients))
-            client.idle_since = front.awake()
+            client.idle_since = front.active_time()
             front.drain()
             assert client.state is State.OPEN
-            writer.write(rig.ask(id="fresh"))
+            writer.write(rig.encode_request(id="fresh"))
             assert [await answer(reader), await answer(reader)] == [b"for fresh", b""]
             silent_one = await rig.connect()
             assert await answer(silent_one[0]) == b"", "one that does not ask goes as well"
@@ -243,12 +248,12 @@
         async with Rig(count=1) as rig:
             held = holding(rig)
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="first"))
+            writer.write(rig.encode_request(id="first"))
             await rig.until(lambda: held)
             rig.node.settle_s = 60.0
             stopping = asyncio.ensure_future(rig.node.stop(0.0))
             assert await answer(reader) == b"-ERR the agent ends"
-            writer.write(rig.ask(id="again"))
+            writer.write(rig.encode_request(id="again"))
             assert [await answer(reader), await answer(reader)] == [b"-BUSY", b""]
             await stopping
             assert len(held) == 1 and rig.node.counts["taken"] == 1
@@ -266,7 +271,7 @@
             assert await answer(reader) == b"for one"
             await leaving
             desks = rig.desk.opened
-            rig.node.move(rig.config())
+            rig.node.reload(rig.config())
             await asyncio.sleep(0.05)
             assert rig.node.phase is Phase.CLOSED and rig.desk.opened == desks
 
--- a/tests/crossings/test_drawn.py
+++ b/tests/crossings/test_drawn.py
@@ -132,7 +132,7 @@
         id = f"r{len(self.talkers)}-{self.rng.getrandbits(40):x}"
         one.asked.append(id.encode())
         self.tape.asked(id, cls)  # the last of a write may be whole later, or never: in the agent's favour
-        return self.rig.ask(cls=cls, d=self.rng.choice((50, 300, 500)), id=id)
+        return self.rig.encode_request(cls=cls, d=self.rng.choice((50, 300, 500)), id=id)
 
     async def finish(self) -> None:
         """The rest of a command that has begun."""
@@ -179,20 +179,22 @@
                 rig.discovery.set(name, lifecycle="in_service", version_no=rng.choice((1, 2)), startedAtMs=10**12)
             case 3:
                 self.tape.lost("list")
-                rig.discovery.spoil = [b'{"generation":']
+                rig.discovery.corrupt_answers = [b'{"generation":']
                 rig.discovery.set(name)
             case 4:
-                rig.desk.tell(b"2 0 %b %.2f 5" % (rng.choice((b"testing", b"recalling")), rng.choice((0.0, 0.25))))
+                rig.desk.publish(
+                    b"2 0 %b %.2f 5" % (rng.choice((b"testing", b"recalling")), rng.choice((0.0, 0.25)))
+                )
             case 5:
                 self.tape.lost("stage")
-                rig.desk.say(b"* noise\r\n")
+                rig.desk.broadcast(b"* noise\r\n")
             case 6:
                 self.tape.lost("list", "stage")
                 for writer in rig.discovery.writers + rig.desk.writers:
                     writer.transport.abort()
             case 7:
                 self.tape.lost("list", "stage")
-                rig.node.move(rng.choice((rig, self.other)).config(name="n0"))
+                rig.node.reload(rng.choice((rig, self.other)).config(name="n0"))
 
     async def play(self) -> None:
         """All steps, some turns of the loop apart; then the planned end."""
@@ -210,7 +212,7 @@
                 self.answer_late()
             for _ in range(self.rng.choice((0, 1, 2, 5, 40))):
                 await asyncio.sleep(0)
-        leaving = asyncio.ensure_future(self.rig.node.leave())
+        leaving = asyncio.ensure_future(self.rig.node.shut_down())
         for _ in range(4):
             await self.ask()
             await asyncio.sleep(self.rng.uniform(0, 0.1))
--- a/tests/crossings/test_feeds.py
+++ b/tests/crossings/test_feeds.py
@@ -29,7 +29,7 @@
             node.ports.peers = Gated()  # type: ignore[assignment]
             starting = asyncio.ensure_future(node.start())
             await asyncio.sleep(0)
-            node.move(new.config())
+            node.reload(new.config())
             gate.set()
             await starting
             await new.until(lambda: new.desk.opened > desks[1] and len(node.list.entries) == 1)
@@ -48,7 +48,7 @@
             old.node.platform.vote(it.CastVote(1, 0, it.Verdict.ON), ended.append)
             await old.until(lambda: old.desk.votes)
             desks = new.desk.opened
-            old.node.move(new.config())
+            old.node.reload(new.config())
             await old.until(lambda: ended and new.desk.opened > desks)
             await old.until(lambda: old.node.platform._writer)
             assert [e.status for e in ended] == [it.Status.TIMEOUT]
@@ -64,16 +64,16 @@
         async with Rig(count=1) as rig:
             said: list[dict[str, Any]] = []
             rig.node.log.warning = lambda event, **fields: said.append({"event": event, **fields})
-            rig.node.move(rig.config())
+            rig.node.reload(rig.config())
             assert not said
-            rig.node.move(rig.config(name="n9", limits={"sockets": 128}))
+            rig.node.reload(rig.config(name="n9", limits={"sockets": 128}))
             assert said == [{"event": "reload_fields_ignored", "fields": "name, sockets"}]
 
     run(work)
 
 
 def test_a_whole_list_that_does_not_fit_the_patience_gets_longer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.05)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
@@ -101,8 +101,8 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_with_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PATIENCE_S", 0.4)  # the first answer of a busy machine comes within it
-    monkeypatch.setattr(discovery, "WAIT_MS", 50)
+    monkeypatch.setattr(discovery, "ANSWER_TIMEOUT_S", 0.4)  # the first answer of a busy machine comes within it
+    monkeypatch.setattr(discovery, "POLL_WAIT_MS", 50)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
@@ -117,18 +117,18 @@
 
 
 def test_a_list_over_its_bound_ends_its_conversation_and_no_more(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "LIST_MOST", 1000)
+    monkeypatch.setattr(discovery, "MAX_LIST_BYTES", 1000)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
             said: list[str] = []
             rig.node.list._log.warning = lambda event, **fields: said.append(f"{event} {fields.get('reason')}")
             opened, held = rig.discovery.opened, dict(rig.node.list.entries)
-            rig.discovery.spoil = [b" " * 1001]
+            rig.discovery.corrupt_answers = [b" " * 1001]
             rig.discovery.set("s-0")
             await rig.until(lambda: said)
             assert said == ["discovery_broken content over 1000 bytes"] and rig.node.list.entries == held
-            assert await rig.say(rig.ask(id="one")) == b"for one", "nobody else is disturbed"
+            assert await rig.exchange(rig.encode_request(id="one")) == b"for one", "nobody else is disturbed"
             await rig.until(lambda: rig.discovery.opened > opened)
 
     run(work)
--- a/tests/crossings/test_log.py
+++ b/tests/crossings/test_log.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from otterquay.node import lines
-from otterquay.node.lines import Lines
+from otterquay.node import json_log
+from otterquay.node.json_log import JsonLogger
 from tests.crossings.forcing import run
 from tests.crossings.test_process import READY, ROOT
 from tests.noderig import Rig, answer
@@ -65,7 +65,7 @@
                 rig.address = (host, int(port))
                 client, writer = await rig.connect()
                 for i in range(120):  # each writes a line of its attempt
-                    writer.write(rig.ask(id=f"{i:016x}"))
+                    writer.write(rig.encode_request(id=f"{i:016x}"))
                     assert await answer(client) == b"for %016x" % i
                 process.terminate()
                 assert await asyncio.wait_for(process.wait(), 30) == 0
@@ -85,7 +85,7 @@
     reading, writing = small_pipe()
     now = 1.0
     with open(writing, "w") as stream:
-        log = Lines(stream, lambda: now)
+        log = JsonLogger(stream, lambda: now)
         for _ in range(10):
             log.info("x", text="y" * 1000)
         for _ in range(more):  # a later second, in which still nobody reads
@@ -104,21 +104,21 @@
 @pytest.mark.parametrize("level", ["warning", "error"])
 def test_floods_do_not_become_logs_and_errors_have_a_bound_of_their_own(level: str) -> None:
     stream, now = io.StringIO(), 1.0
-    log = Lines(stream, lambda: now)
-    for i in range(5 * lines.LINES_MOST):
+    log = JsonLogger(stream, lambda: now)
+    for i in range(5 * json_log.MAX_LINES_PER_S):
         getattr(log, level)("flood", number=i)
     log.info("beside it") if level == "error" else log.error("beside it")
     now = 2.0
     log.info("after")
     said = [json.loads(line) for line in stream.getvalue().splitlines()]
     assert [line["event"] for line in said] == (
-        ["flood"] * lines.LINES_MOST + ["beside it", "lines_left_out", "after"]
+        ["flood"] * json_log.MAX_LINES_PER_S + ["beside it", "lines_left_out", "after"]
     )
-    assert said[-2]["of"] == 4 * lines.LINES_MOST
+    assert said[-2]["of"] == 4 * json_log.MAX_LINES_PER_S
 
 
 def test_a_line_over_its_bound_is_its_event_alone() -> None:
     stream = io.StringIO()
-    Lines(stream, lambda: 1.0).warning("long", text="x" * lines.LINE_MOST)
+    JsonLogger(stream, lambda: 1.0).warning("long", text="x" * json_log.MAX_LINE_BYTES)
     line = json.loads(stream.getvalue())
-    assert line["event"] == "long" and line["bytes_left_out"] > lines.LINE_MOST and "text" not in line
+    assert line["event"] == "long" and line["bytes_left_out"] > json_log.MAX_LINE_BYTES and "text" not in line
--- a/tests/crossings/test_process.py
+++ b/tests/crossings/test_process.py
@@ -17,7 +17,7 @@
 import pytest
 
 from tests.crossings.forcing import run
-from tests.noderig import Rig, answer, quiet, served
+from tests.noderig import Rig, answer, never_answer, served
 
 ROOT = Path(__file__).parent.parent.parent
 READY = "agent_started"
@@ -93,7 +93,7 @@
             held: list[tuple[asyncio.StreamWriter, bytes]] = []
             rig.appliances[0].behave = lambda _, writer, words: held.append((writer, words[2]))
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="before"))
+            writer.write(rig.encode_request(id="before"))
             await rig.until(lambda: held)
             one.signal(signal.SIGTERM)
             await one.heard("agent_leaving")
@@ -110,9 +110,9 @@
 def test_what_never_gets_its_answer_is_failed_before_the_process_ends() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig, started(rig) as one:
-            rig.appliances[0].behave = quiet
+            rig.appliances[0].behave = never_answer
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="held", d=6000))
+            writer.write(rig.encode_request(id="held", d=6000))
             await rig.until(lambda: rig.appliances[0].got)
             one.signal(signal.SIGTERM)
             assert [await answer(reader), await answer(reader)] == [b"-ERR the agent ends", b""]
@@ -140,7 +140,7 @@
         code = EARLY + "os.kill(os.getpid(), signal.SIGHUP)\nsys.exit(program.main())"
         async with Rig(count=1) as rig, started(rig, code) as one:
             await one.heard("reloaded")
-            assert await rig.say(rig.ask(id="served")) == b"for served"
+            assert await rig.exchange(rig.encode_request(id="served")) == b"for served"
             one.signal(signal.SIGTERM)
             assert await one.ended() == 0
 
@@ -166,7 +166,7 @@
                 one.file.write_bytes(bad)
                 one.signal(signal.SIGHUP)
                 await one.heard("reload_refused", times)
-                assert await rig.say(rig.ask(id=f"old-{times}")) == b"for old-%d" % times
+                assert await rig.exchange(rig.encode_request(id=f"old-{times}")) == b"for old-%d" % times
             one.file.unlink()
             one.signal(signal.SIGHUP)
             assert "No such file" in (await one.heard("reload_refused", 6))["reason"]
@@ -195,13 +195,13 @@
     async def work() -> None:
         async with Rig(count=1) as rig, started(rig) as one:
             first = socket.create_connection(rig.address)
-            first.sendall(rig.ask(id="before"))
+            first.sendall(rig.encode_request(id="before"))
             await rig.until(lambda: len(rig.appliances[0].got) == 1)
             one.signal(signal.SIGSTOP)
-            first.sendall(rig.ask(id="gone"))
+            first.sendall(rig.encode_request(id="gone"))
             first.close()
             stays, writer = await rig.connect()
-            writer.write(rig.ask(id="stays", d=6000))
+            writer.write(rig.encode_request(id="stays", d=6000))
             one.signal(signal.SIGCONT)
             assert await answer(stays) == b"for stays"
             assert [words[2] for words in rig.appliances[0].got] == [b"before", b"stays"]
@@ -226,7 +226,7 @@
                 asked = 0
                 while going:
                     asked += 1
-                    data = rig.ask(cls="race-entry" if asked % 3 == 0 else "lobby-read")
+                    data = rig.encode_request(cls="race-entry" if asked % 3 == 0 else "lobby-read")
                     counts["asked"] += 1
                     for place in [number % 3, (number + 1) % 3, (number + 2) % 3]:
                         try:
--- a/tests/crossings/wiretape.py
+++ b/tests/crossings/wiretape.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from otterquay.lab.auditor import Auditor, Report
-from otterquay.protocol.platform import PHASES, read_state
+from otterquay.protocol.platform import PHASES, parse_state
 from otterquay.standins import tape as tp
 from tests.noderig import SETTINGS, Appliance, Rig
 from tests.rig import service
@@ -42,7 +42,7 @@
 
     def hook(self, rig: Rig) -> None:
         """What this rig's discovery and platform write goes to the same agent."""
-        rig.discovery.told, rig.desk.told = self.listed, self.stands
+        rig.discovery.on_sent, rig.desk.on_sent = self.listed, self.stands
 
     async def _tick(self) -> None:
         while True:
@@ -86,7 +86,7 @@
         """The platform writes where the newest build stands, `first` on a connection or later."""
         if first:
             self._again("stage")
-        told = read_state(state.split(b" "), len(SETTINGS["familyInfo"]["caps"]))
+        told = parse_state(state.split(b" "), len(SETTINGS["familyInfo"]["caps"]))
         phase: Any = {
             b"testing": "trial",
             b"recalling": "going_back",
--- a/tests/noderig.py
+++ b/tests/noderig.py
@@ -66,12 +66,12 @@
     return b"*3\r\n" + resp.bulk(value) + b"$-1\r\n" + report
 
 
-def right(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
+def answer_at_once(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
     """Answer at once with the value made for this request."""
     writer.write(served(b"for " + words[2]))
 
 
-def raw(data: bytes, close: bool = False) -> Behave:
+def answer_bytes(data: bytes, close: bool = False) -> Behave:
     """Answer with these bytes, whatever they are."""
 
     def behave(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
@@ -82,7 +82,7 @@
     return behave
 
 
-def quiet(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
+def never_answer(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
     """Never answer."""
 
 
@@ -124,7 +124,7 @@
 class Appliance(Party):
     """A scripted appliance; `behave` may be replaced at any time."""
 
-    def __init__(self, behave: Behave = right) -> None:
+    def __init__(self, behave: Behave = answer_at_once) -> None:
         super().__init__()
         self.behave, self.got, self.at = behave, list[list[bytes]](), list[float]()
 
@@ -143,9 +143,11 @@
     def __init__(self) -> None:
         super().__init__()
         self.generation, self.entries = 1, dict[str, dict[str, Any]]()
-        self.changed, self.spoil, self.silent = asyncio.Event(), list[bytes](), False
+        self.changed, self.corrupt_answers, self.silent = asyncio.Event(), list[bytes](), False
         self.asked: list[str] = []
-        self.told: Callable[[list[dict[str, Any]], bool], None] = lambda entries, whole: None  # hears what goes out
+        self.on_sent: Callable[[list[dict[str, Any]], bool], None] = (
+            lambda entries, whole: None
+        )  # hears what goes out
 
     def set(self, id: str, **fields: Any) -> None:
         """Change an entry and tell it; one whose `lifecycle` is terminated is told once."""
@@ -171,7 +173,7 @@
         while head := await reader.readuntil(b"\r\n\r\n"):
             self.asked.append(head.split(b" ")[1].decode())
             after = re.search(r"after=(\d+)", self.asked[-1])
-            if after and int(after[1]) >= self.generation and not self.spoil:
+            if after and int(after[1]) >= self.generation and not self.corrupt_answers:
                 self.changed.clear()
                 await self.changed.wait()
             if self.silent:
@@ -179,11 +181,11 @@
             if writer.is_closing() or peer_closed(writer.transport):
                 return  # who asked has gone meanwhile
             since = int(after[1]) if after else None
-            if self.spoil:
-                body = self.spoil.pop()
+            if self.corrupt_answers:
+                body = self.corrupt_answers.pop()
             else:
                 body = self.listing(since)
-                self.told(self.later(since), since is None)
+                self.on_sent(self.later(since), since is None)
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
 
 
@@ -194,27 +196,27 @@
         super().__init__()
         self.state, self.votes = b"1 0 live 1 5", list[bytes]()
         self.answer: Callable[[bytes], bytes | None] = lambda _: b"OK " + self.state + b"\r\n"
-        self.told: Callable[[bytes, bool], None] = lambda state, first: None  # hears what goes out
+        self.on_sent: Callable[[bytes, bool], None] = lambda state, first: None  # hears what goes out
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readuntil(b"\r\n"):
             if line == b"SUB\r\n":
-                self.told(self.state, True)
+                self.on_sent(self.state, True)
                 writer.write(b"OK\r\n* progress " + self.state + b"\r\n*\r\n")
             else:
                 self.votes.append(line.strip())
                 if (answer := self.answer(line)) is not None:
-                    self.told(self.state, False)
+                    self.on_sent(self.state, False)
                     writer.write(answer)
 
-    def tell(self, state: bytes) -> None:
+    def publish(self, state: bytes) -> None:
         """News of the newest build."""
         self.state = state
         if any(not writer.is_closing() and not peer_closed(writer.transport) for writer in self.writers):
-            self.told(state, False)
-        self.say(b"* progress " + state + b"\r\n")
+            self.on_sent(state, False)
+        self.broadcast(b"* progress " + state + b"\r\n")
 
-    def say(self, data: bytes) -> None:
+    def broadcast(self, data: bytes) -> None:
         """Send to all that listen."""
         for writer in self.writers:
             if not writer.is_closing():
@@ -283,7 +285,9 @@
         await asyncio.sleep(0)
 
     # --- clients ---
-    def ask(self, cls: str = "lobby-read", d: object = 2000, id: str | None = None, **options: str) -> bytes:
+    def encode_request(
+        self, cls: str = "lobby-read", d: object = 2000, id: str | None = None, **options: str
+    ) -> bytes:
         """The bytes of a request."""
         self._ids += 1
         name = id or f"{self._ids:016x}"
@@ -299,7 +303,7 @@
         self.writers.append(writer)
         return reader, writer
 
-    async def say(self, data: bytes) -> bytes:
+    async def exchange(self, data: bytes) -> bytes:
         """One answer, or b"" for a close, to these bytes on a connection of their own."""
         reader, writer = await self.connect()
         writer.write(data)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,12 +9,12 @@
 
 from otterquay import interface as it
 from otterquay.agent.outcomes import End
-from otterquay.node.asks import AskReader
-from otterquay.node.client import WRITE_MOST
+from otterquay.node.client import MAX_UNSENT_BYTES
 from otterquay.node.config import ConfigError, read_config
+from otterquay.node.request_reader import RequestReader
 from otterquay.protocol import resp
-from otterquay.protocol.targets import number_of
-from tests.noderig import Rig, answer, quiet, raw, served
+from otterquay.protocol.targets import server_number
+from tests.noderig import Rig, answer, answer_bytes, never_answer, served
 from tests.rig import run
 
 
@@ -25,11 +25,11 @@
 def test_a_calm_stretch_passes_on_what_each_request_was_answered() -> None:
     async def work() -> None:
         async with Rig() as rig:
-            assert await rig.say(b"*1\r\n$4\r\nPING\r\n") == b"+PONG"
+            assert await rig.exchange(b"*1\r\n$4\r\nPING\r\n") == b"+PONG"
             first = [type(e) for e in rig.events[:3]]
             assert first == [it.Started, it.StageNews, it.ServerList], "before the first PONG"
             for cls in ("lobby-read", "queue-join", "race-entry"):
-                assert await rig.say(rig.ask(cls, id=f"id-{cls}")) == b"for id-" + cls.encode()
+                assert await rig.exchange(rig.encode_request(cls, id=f"id-{cls}")) == b"for id-" + cls.encode()
             got = {words[2]: words for one in rig.appliances for words in one.got}
             assert got[b"id-queue-join"][1::3] == [b"id-queue-join" * 2, b"the body\r\n\0"]
             options = got[b"id-race-entry"][3].split(b",")
@@ -45,7 +45,7 @@
             held: list[tuple[asyncio.StreamWriter, bytes]] = []
             rig.appliances[0].behave = lambda one, writer, words: held.append((writer, words[2]))
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="a") + rig.ask(id="b") + b"*1\r\n$4\r\nPING\r\n")
+            writer.write(rig.encode_request(id="a") + rig.encode_request(id="b") + b"*1\r\n$4\r\nPING\r\n")
             await rig.until(lambda: len(held) == 2)
             for appliance, id in reversed(sorted(held, key=lambda h: h[1])):
                 appliance.write(served(b"for " + id))
@@ -69,9 +69,12 @@
 def test_a_client_that_cannot_be_read_gets_an_error_or_a_close_and_disturbs_nobody(bad: str) -> None:
     async def work() -> None:
         async with Rig() as rig:
-            told = await rig.say(BAD[bad])
+            told = await rig.exchange(BAD[bad])
             assert told == b"" or told.startswith(b"-ERR ")
-            assert await rig.say(rig.ask(id="x")) == b"for x" and sum(len(a.got) for a in rig.appliances) == 1
+            assert (
+                await rig.exchange(rig.encode_request(id="x")) == b"for x"
+                and sum(len(a.got) for a in rig.appliances) == 1
+            )
 
     run(work)
 
@@ -95,7 +98,7 @@
     async def work() -> None:
         async with Rig() as rig:
             reader, writer = await rig.connect()
-            writer.write(rig.ask(**options) + rig.ask(id="y"))
+            writer.write(rig.encode_request(**options) + rig.encode_request(id="y"))
             assert (await answer(reader)).startswith(b"-ERR ") and await answer(reader) == b"for y"
             assert len(rig.seen(it.Request)) == 1
 
@@ -105,15 +108,15 @@
 def test_the_id_of_an_open_request_is_refused_until_that_has_its_answer() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = quiet
+            rig.appliances[0].behave = never_answer
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="same"))
+            writer.write(rig.encode_request(id="same"))
             await rig.until(lambda: rig.appliances[0].got)
-            assert (await rig.say(rig.ask(id="same"))).startswith(b"-ERR id")
+            assert (await rig.exchange(rig.encode_request(id="same"))).startswith(b"-ERR id")
             writer.close()
             await rig.until(lambda: rig.seen(it.Abandoned))
             rig.appliances[0].behave = lambda one, w, words: w.write(served(b"again"))
-            await rig.say(rig.ask(id="same"))  # whatever the module makes of it, it is taken
+            await rig.exchange(rig.encode_request(id="same"))  # whatever the module makes of it, it is taken
             assert len(rig.seen(it.Request)) == 2
 
     run(work)
@@ -122,11 +125,11 @@
 def test_a_flood_on_one_connection_is_not_taken_and_what_was_open_there_ends() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = quiet
+            rig.appliances[0].behave = never_answer
             reader, writer = await rig.connect()
-            writer.write(rig.ask())
+            writer.write(rig.encode_request())
             await rig.until(lambda: rig.appliances[0].got)
-            writer.write(b"".join(rig.ask() for _ in range(300)))
+            writer.write(b"".join(rig.encode_request() for _ in range(300)))
             assert [await answer(reader) for _ in range(3)] == [
                 b"-ERR failed",
                 b"-ERR over 32 commands without an answer",
@@ -142,8 +145,8 @@
         async with Rig(sockets=100) as rig:
             working, writer = await rig.connect()
             for one in rig.appliances:
-                one.behave = quiet
-            writer.write(rig.ask(id="at-work", d=6000))
+                one.behave = never_answer
+            writer.write(rig.encode_request(id="at-work", d=6000))
             await rig.until(lambda: any(one.got for one in rig.appliances))
             crowd = [await rig.connect() for _ in range(60)]
             await rig.until(lambda: rig.node.front.most >= len(rig.node.front.clients) > 1)
@@ -159,7 +162,7 @@
     async def work() -> None:
         async with Rig(sockets=100) as rig:
             slow, writer = await rig.connect()
-            command = rig.ask(id="slow")
+            command = rig.encode_request(id="slow")
             writer.write(command[:30])
             await rig.until(lambda: any(c.half_since for c in rig.node.front.clients))
             crowd = [await rig.connect() for _ in range(40)]
@@ -176,8 +179,8 @@
             reader, writer = await rig.connect()
             reader._transport.pause_reading()  # type: ignore[attr-defined]
             for one in rig.appliances:
-                one.behave = raw(served(b"x" * 60_000))
-            writer.write(rig.ask())
+                one.behave = answer_bytes(served(b"x" * 60_000))
+            writer.write(rig.encode_request())
             await rig.until(lambda: rig.node.front.clients)
             most = 0
             client = next(iter(rig.node.front.clients))
@@ -185,11 +188,11 @@
                 if client not in rig.node.front.clients:
                     break
                 if not writer.transport.is_closing() and client.transport.is_reading():
-                    writer.write(rig.ask())
+                    writer.write(rig.encode_request())
                 most = max(most, client.transport.get_write_buffer_size())
                 await asyncio.sleep(0.002)
-            assert client not in rig.node.front.clients and WRITE_MOST < most < 8 * WRITE_MOST
-            assert await rig.say(rig.ask()) == b"x" * 60_000, "nobody else is disturbed"
+            assert client not in rig.node.front.clients and MAX_UNSENT_BYTES < most < 8 * MAX_UNSENT_BYTES
+            assert await rig.exchange(rig.encode_request()) == b"x" * 60_000, "nobody else is disturbed"
 
     run(work)
 
@@ -209,8 +212,10 @@
 def test_a_spoilt_answer_may_have_run_and_ends_its_connection(spoilt: bytes) -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = raw(spoilt)
-            assert await rig.say(rig.ask("race-entry")) == b"-ERR failed", "it is not sent twice, nor refused"
+            rig.appliances[0].behave = answer_bytes(spoilt)
+            assert await rig.exchange(rig.encode_request("race-entry")) == b"-ERR failed", (
+                "it is not sent twice, nor refused"
+            )
             assert values(rig) == [(it.Status.ERROR, ())] and len(rig.appliances[0].got) == 1
             if spoilt != b"+OK\r\n":
                 await rig.until(lambda: not rig.appliances[0].writers)
@@ -221,17 +226,17 @@
 @pytest.mark.parametrize(
     ("ends", "status", "told"),
     [
-        (raw(b"-BUSY\r\n"), it.Status.FULL, b"-BUSY"),
-        (raw(b"-ERR failed pending=4\r\n"), it.Status.ERROR, b"-ERR failed"),
-        (raw(b"", close=True), it.Status.RESET, b"-ERR failed"),
-        (quiet, it.Status.TIMEOUT, b"-ERR failed"),
+        (answer_bytes(b"-BUSY\r\n"), it.Status.FULL, b"-BUSY"),
+        (answer_bytes(b"-ERR failed pending=4\r\n"), it.Status.ERROR, b"-ERR failed"),
+        (answer_bytes(b"", close=True), it.Status.RESET, b"-ERR failed"),
+        (never_answer, it.Status.TIMEOUT, b"-ERR failed"),
     ],
 )
 def test_how_an_attempt_that_is_not_served_ends(ends: Any, status: it.Status, told: bytes) -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
             rig.appliances[0].behave = ends
-            assert await rig.say(rig.ask("race-entry", d=400)) == told
+            assert await rig.exchange(rig.encode_request("race-entry", d=400)) == told
             assert {s for s, _ in values(rig)} == {status}
             assert len(rig.appliances[0].got) == 1 or status is it.Status.FULL, "only what never ran goes again"
 
@@ -250,9 +255,9 @@
 
             rig.appliances[0].behave = behave
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="first"))
+            writer.write(rig.encode_request(id="first"))
             assert await answer(reader) == b"for first"
-            writer.write(rig.ask(id="second"))  # at once: the surplus may not have been read yet
+            writer.write(rig.encode_request(id="second"))  # at once: the surplus may not have been read yet
             assert await answer(reader) == b"for second"
 
     run(work)
@@ -262,7 +267,7 @@
     async def work() -> None:
         async with Rig(count=1) as rig:
             rig.appliances[0].behave = lambda one, w, words: w.write(served(b"v", b"$4\r\n\xff=?1\r\n"))
-            assert await rig.say(rig.ask()) == b"v" and values(rig) == [(it.Status.OK, ())]
+            assert await rig.exchange(rig.encode_request()) == b"v" and values(rig) == [(it.Status.OK, ())]
 
     run(work)
 
@@ -291,17 +296,17 @@
     async def work() -> None:
         async with Rig(count=2) as rig:
             rig.discovery.set("s-1", lifecycle="terminating")
-            await rig.until(lambda: not rig.node._agent.servers[number_of("s-1")].ready)
+            await rig.until(lambda: not rig.node._agent.servers[server_number("s-1")].ready)
             for _ in range(6):
-                assert (await rig.say(rig.ask())).startswith(b"for ")
+                assert (await rig.exchange(rig.encode_request())).startswith(b"for ")
             assert not rig.appliances[1].got
             idle = len(rig.appliances[0].writers)
             assert idle
             rig.discovery.set("s-0", version_no=2, startedAtMs=rig.wall() * 1e3 - 100)
             await rig.until(lambda: not rig.appliances[0].writers)  # connections to what ran before are void
-            server = rig.node._agent.servers[number_of("s-0")]
+            server = rig.node._agent.servers[server_number("s-0")]
             assert server.entry.build == 2 and 0 < server.started <= asyncio.get_running_loop().time() * 1e3
-            assert rig.node.list.entries[number_of("s-0")].build == 2
+            assert rig.node.list.entries[server_number("s-0")].build == 2
 
     run(work)
 
@@ -310,10 +315,10 @@
     async def work() -> None:
         async with Rig(count=2) as rig:
             rig.discovery.set("s-1", version_no=2)
-            rig.desk.tell(b"2 0 testing 0.25 5")
+            rig.desk.publish(b"2 0 testing 0.25 5")
             await rig.until(lambda: rig.node.platform.capped(2) and rig.node._agent.news.build == 2)
             for _ in range(40):
-                await rig.say(rig.ask())
+                await rig.exchange(rig.encode_request())
             assert 0 < len(rig.appliances[1].got) <= 2 + 0.25 * 40
             before = len(rig.appliances[1].got)
             rig.desk.answer = lambda _: b"OK 2 0 recalling 0 1\r\n"
@@ -321,7 +326,7 @@
             await rig.until(lambda: rig.node._agent.news.phase is it.Phase.GOING_BACK)
             assert rig.desk.votes == [b"SAY 2 0 ROLLBACK"]
             for _ in range(10):
-                await rig.say(rig.ask())
+                await rig.exchange(rig.encode_request())
             assert len(rig.appliances[1].got) == before
 
     run(work)
@@ -359,11 +364,11 @@
     async def work() -> None:
         async with Rig() as rig:
             desks, lists = rig.desk.opened, rig.discovery.opened
-            rig.desk.say(b"* progress 9 9 asleep\r\n")
-            rig.discovery.spoil = [b'{"generation":', b"\xff\xfe"]
+            rig.desk.broadcast(b"* progress 9 9 asleep\r\n")
+            rig.discovery.corrupt_answers = [b'{"generation":', b"\xff\xfe"]
             rig.discovery.set("s-0")
             await rig.until(lambda: rig.desk.opened > desks and rig.discovery.opened > lists + 1)
-            assert await rig.say(rig.ask(id="z")) == b"for z" and len(rig.node.list.entries) == 2
+            assert await rig.exchange(rig.encode_request(id="z")) == b"for z" and len(rig.node.list.entries) == 2
             await rig.until(lambda: rig.discovery.asked[-2:][0] == "/api/targets")  # the whole list again
 
     run(work)
@@ -372,10 +377,10 @@
 def test_a_reload_moves_to_the_new_addresses_and_a_bad_file_is_refused() -> None:
     async def work() -> None:
         async with Rig() as rig, Rig(count=1) as other:
-            rig.node.move(other.config())
-            await rig.until(lambda: set(rig.node.list.entries) == {number_of("s-0")})
+            rig.node.reload(other.config())
+            await rig.until(lambda: set(rig.node.list.entries) == {server_number("s-0")})
             await rig.until(lambda: not rig.desk.writers and other.discovery.asked.count("/api/targets") == 2)
-            assert await rig.say(rig.ask(id="m")) == b"for m" and other.appliances[0].got
+            assert await rig.exchange(rig.encode_request(id="m")) == b"for m" and other.appliances[0].got
             for bad in (
                 {"pipeline": {"address": "nowhere"}},
                 {"settings": {}},
@@ -398,11 +403,11 @@
             held: list[Any] = []
             rig.appliances[0].behave = lambda one, writer, words: held.append((writer, words[2]))
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="before"))
+            writer.write(rig.encode_request(id="before"))
             await rig.until(lambda: held)
-            leaving = asyncio.ensure_future(rig.node.leave())
+            leaving = asyncio.ensure_future(rig.node.shut_down())
             late, late_writer = await rig.connect()
-            late_writer.write(rig.ask(id="after"))
+            late_writer.write(rig.encode_request(id="after"))
             await rig.until(lambda: len(held) == 2)
             await rig.until(lambda: rig.node.front.draining)
             for appliance, id in held:
@@ -459,12 +464,12 @@
     async def work() -> None:
         limits = {"sendCap": 1, "maxOpen": 1, "keepaliveMs": 9000.0}
         async with Rig(count=1, limits=limits) as rig:
-            rig.appliances[0].behave = quiet
+            rig.appliances[0].behave = never_answer
             reader, writer = await rig.connect()
-            writer.write(rig.ask(id="one"))
+            writer.write(rig.encode_request(id="one"))
             await rig.until(lambda: rig.node.held)
-            assert await rig.say(rig.ask(id="two")) == b"-BUSY" and len(rig.seen(it.Request)) == 1
-            names = AskReader.of(rig.node.settings).classes
+            assert await rig.exchange(rig.encode_request(id="two")) == b"-BUSY" and len(rig.seen(it.Request)) == 1
+            names = RequestReader.of(rig.node.settings).classes
             assert list(names) == [b"lobby-read", b"queue-join", b"race-entry"]
             assert resp.error("a\r\nb") == b"-a  b\r\n"
 
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -204,7 +204,7 @@
     entry = fleet.entries[0]
     assert whole and not refused and (entry.age_ms, entry.kind, entry.build) == (1500.0, 1, 7)
     other = targets.TargetReader([]).read(one(startedAtMs=5000, version_no=8), 9.0)[1].entries[0]
-    assert other.server == entry.server == targets.number_of("s-1") and other.incarnation != entry.incarnation
+    assert other.server == entry.server == targets.server_number("s-1") and other.incarnation != entry.incarnation
     assert reader.read(one(), 6500.0)[1].entries[0].age_ms is None
 
 
