--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -613,7 +613,7 @@
     out = one._out[1]
     out.number = 2**62
     assert two.receive(one.tell(1, b"far")[0].datagram) == [Deliver(0, b"far")]
-    assert two._in[0].seen < 2**64
+    assert two._in[0].seen_bits < 2**64
     out.number = 5
     with pytest.raises(PeerRefused):
         two.receive(one.tell(1, b"old")[0].datagram)
@@ -633,14 +633,14 @@
             ]
         (datagram,) = [t.datagram for t in one.tell(1, b"heard")]
         assert two.receive(datagram) == [Deliver(0, b"heard")]
-    assert len(one._out) == len(two._in) == 1 and not one._out[1].held
+    assert len(one._out) == len(two._in) == 1 and not one._out[1].pending
 
 
 def test_words_for_one_that_never_answers_are_few() -> None:
     link = PeerLink(0, 3, bytes(32), random.Random(1))
     for i in range(1000):
         link.tell(None, bytes([i % 256]))
-    assert {len(out.held) for out in link._out.values()} == {8} and link.dropped == 2 * (1000 - 8)
+    assert {len(out.pending) for out in link._out.values()} == {8} and link.dropped == 2 * (1000 - 8)
 
 
 # --- chat ---
