--- a/otterquay/node/request_reader.py
+++ b/otterquay/node/request_reader.py
@@ -10,8 +10,8 @@
 from otterquay.protocol.http import ProtocolError
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
-TOKEN_PATTERN = re.compile(rb"[!-+\--~]{1,128}")  # printable ASCII without comma or space
-DEADLINE_PATTERN = re.compile(rb"\d{1,9}(\.\d{1,6})?")
+TOKEN = re.compile(rb"[!-+\--~]{1,128}")  # printable ASCII without comma or space
+DEADLINE = re.compile(rb"\d{1,9}(\.\d{1,6})?")
 
 
 @dataclass(slots=True)
@@ -36,17 +36,12 @@
         if len(arguments) != (4 if is_query else 5):
             raise ProtocolError(400, "wrong number of arguments")
         for option, argument in (("key", arguments[1]), ("id", arguments[2])):
-            if not TOKEN_PATTERN.fullmatch(argument):
+            if not TOKEN.fullmatch(argument):
                 raise ProtocolError(400, f"{option}: 1 to 128 printable characters")
         options: dict[bytes, bytes] = {}
         for item in arguments[3].split(b","):
             name, equals, value = item.partition(b"=")
-            if (
-                not equals
-                or not TOKEN_PATTERN.fullmatch(name)
-                or not TOKEN_PATTERN.fullmatch(value)
-                or name in options
-            ):
+            if not equals or not TOKEN.fullmatch(name) or not TOKEN.fullmatch(value) or name in options:
                 raise ProtocolError(400, "options: names with values, each once")
             options[name] = value
         cls = self.classes.get(options.get(b"c", b""))
@@ -58,7 +53,7 @@
         tenant = self.tenants.get(options.get(b"t", b""), None if self.tenants else 0)
         if tenant is None:
             raise ProtocolError(400, f"t: one of {b', '.join(self.tenants).decode()}")
-        if not DEADLINE_PATTERN.fullmatch(options.get(b"d", b"")) or float(options[b"d"]) <= 0:
+        if not DEADLINE.fullmatch(options.get(b"d", b"")) or float(options[b"d"]) <= 0:
             raise ProtocolError(400, "d: a number of milliseconds")
         if effect is it.Effect.KEYED and b"k" not in options:
             raise ProtocolError(400, "k: wanted in this class")
--- a/otterquay/protocol/__init__.py
+++ b/otterquay/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs without I/O: HTTP/1.1, server-sent events, ORCA load reports, authenticated peer datagrams."""
+"""Codecs without I/O: HTTP/1.1, RESP, server-sent events, ORCA load reports, peer datagrams and feed formats."""
--- a/otterquay/protocol/http.py
+++ b/otterquay/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 (RFC 9112) over httptools: bounded parsers and writers of whole messages, without I/O."""
+"""HTTP/1.1 (RFC 9112) with httptools: bounded parsers and encoders of complete messages, without I/O."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ProtocolError(Exception):
-    """The peer's bytes are refused; `status` is what a server answers to them."""
+    """Input that is rejected; `status` is the HTTP status that a server answers with."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request; header names are in lower case, repeated fields joined (RFC 9110 section 5.2)."""
+    """A complete request; header names are in lower case, repeated fields are joined (RFC 9110 section 5.2)."""
 
     method: bytes
     target: bytes
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole response; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -55,7 +55,7 @@
 
 
 class _MessageParser:
-    """What one message in the making has brought; shared by both parsers."""
+    """State of the message being parsed; base of both parsers."""
 
     def __init__(self, max_head: int, max_body: int) -> None:
         self._max_head, self._max_body = max_head, max_body
@@ -96,7 +96,7 @@
     def _feed_parser(
         self, parser: httptools.HttpRequestParser | httptools.HttpResponseParser, data: bytes, upgrade_status: int
     ) -> None:
-        """Feed the parser; messages that were whole before the bytes went wrong stay whole."""
+        """Feed the parser; messages completed before malformed bytes remain valid."""
         if self.failed:
             return
         try:
@@ -111,7 +111,7 @@
 
 
 class RequestParser(_MessageParser):
-    """Bytes of one client connection in, whole requests out; any number may come in one feed."""
+    """Parses the bytes of one client connection into requests."""
 
     def __init__(self, max_head: int = 16384, max_body: int = 1048576) -> None:
         super().__init__(max_head, max_body)
@@ -139,14 +139,14 @@
         self.started = False
 
     def feed(self, data: bytes) -> list[HttpRequest]:
-        """The requests that these bytes complete; `failed` is set once what came cannot be read on."""
+        """The requests that these bytes complete; `failed` is set once the input cannot be parsed any further."""
         self._completed = []
         if not self.started:
             self._start_line_size = 0
         self._feed_parser(self._parser, data, 501)
         if self.failed and self.failed.status == 501:
-            self._completed.pop()  # what wants another protocol is refused, not served
-        if self.started and not self._headers:  # a start line that never ends is not yet counted above
+            self._completed.pop()  # a request for a protocol upgrade is refused, not served
+        if self.started and not self._headers:  # an endless start line is not counted by the header callbacks
             self._start_line_size += len(data)
             if self._start_line_size > self._max_head:
                 self.failed = ProtocolError(431, f"start line over {self._max_head} bytes")
@@ -154,7 +154,7 @@
 
 
 class ResponseParser(_MessageParser):
-    """Bytes of one server connection in, whole responses out, or content as it comes with `stream`."""
+    """Parses the bytes of one server connection into responses; `stream` receives content as it arrives."""
 
     def __init__(
         self, max_head: int = 16384, max_body: int = 4194304, stream: Callable[[bytes], None] | None = None
@@ -166,7 +166,7 @@
 
     @property
     def headers(self) -> dict[bytes, bytes]:
-        """Header fields of the message in the making."""
+        """Header fields of the message being parsed."""
         return self._headers
 
     def on_headers_complete(self) -> None:
@@ -184,12 +184,12 @@
         return HttpResponse(self.status, self._headers, b"".join(self._body), keep_alive)
 
     def on_message_complete(self) -> None:
-        if self.status >= 200:  # an interim response (RFC 9110 section 15.2) ends nothing
+        if self.status >= 200:  # interim responses (RFC 9110 section 15.2) are skipped
             self._completed.append(self._response(self._parser.should_keep_alive()))
         self.started = False
 
     def feed(self, data: bytes) -> list[HttpResponse]:
-        """The responses that these bytes complete; `failed` is set for what is no response."""
+        """The responses that these bytes complete; `failed` is set for malformed input."""
         self._completed = []
         self._feed_parser(self._parser, data, 502)
         return self._completed
@@ -200,7 +200,7 @@
 
 
 def write_request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """A whole request with its content-length."""
+    """Encode a request with its content-length."""
     head = b"".join([b"%b: %b\r\n" % header for header in headers])
     return b"%b %b HTTP/1.1\r\n%bcontent-length: %d\r\n\r\n%b" % (method, target, head, len(body), body)
 
@@ -208,7 +208,7 @@
 def write_response(
     status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"", keep_alive: bool = True
 ) -> bytes:
-    """A whole response with its content-length."""
+    """Encode a response with its content-length."""
     head = b"".join([b"%b: %b\r\n" % header for header in headers])
     close = b"" if keep_alive else b"connection: close\r\n"
     return b"HTTP/1.1 %d %b\r\n%b%bcontent-length: %d\r\n\r\n%b" % (
--- a/otterquay/protocol/news.py
+++ b/otterquay/protocol/news.py
@@ -1,6 +1,6 @@
-"""Words of the fleet list and the release desk: JSON bodies of server-sent events and of votes, checked by msgspec.
+"""JSON messages of the fleet list and the release desk: bodies of server-sent events and of votes.
 
-Times are milliseconds, as ages at the moment of writing: the ends share no clock.
+Times are ages in milliseconds at the moment of sending, as sender and receiver share no clock.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 import msgspec
 from msgspec import Meta
 
-Uint32 = Annotated[int, Meta(ge=0, lt=2**32)]  # of a server, or how many
+Uint32 = Annotated[int, Meta(ge=0, lt=2**32)]  # server numbers and counts
 Uint16 = Annotated[int, Meta(ge=0, lt=2**16)]  # builds, kinds, cells, stages
 Uint63 = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-DurationMs = Annotated[float, Meta(ge=0, le=1e12)]  # milliseconds; some thirty years
-AgeMs = Annotated[float, Meta(ge=-1e12, le=1e12)]  # below 0 where the source's clock was set back; it counts as 0
+DurationMs = Annotated[float, Meta(ge=0, le=1e12)]  # up to about thirty years
+AgeMs = Annotated[float, Meta(ge=-1e12, le=1e12)]  # negative if the source's clock was set back; counts as 0
 Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class Entry(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
-    """One server; `incarnation` changes with every start of its process, `age_ms` is absent when long ago."""
+    """One server; `incarnation` changes with every start of its process, `age_ms` is absent if that is long ago."""
 
     server: Uint32
     zone: str
@@ -34,7 +34,7 @@
 
 
 class FleetNews(msgspec.Struct, frozen=True):
-    """A whole list, or with `base` the changes from that version on."""
+    """The whole list, or the changes since version `base`."""
 
     version: Uint63
     entries: list[Entry]
@@ -48,7 +48,7 @@
 
 
 def decode_fleet(data: str) -> tuple[FleetNews, list[str]]:
-    """A list, and why entries were left out: one that is malformed hides no other. ValueError for all else."""
+    """The list without malformed entries, and the reason for each of those. ValueError if the list is malformed."""
     raw_news: _RawFleetNews = msgspec.json.decode(data, type=_RawFleetNews)
     entries, refused = list[Entry](), list[str]()
     for raw in raw_news.entries:
@@ -60,7 +60,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True):
-    """Where the newest build stands."""
+    """Stage of the newest build."""
 
     build: Uint16
     stage: Uint16
@@ -70,7 +70,7 @@
 
 
 class TallyNews(msgspec.Struct, frozen=True, rename={"cls": "class"}):
-    """What the platform counted for one build and class over a period."""
+    """The platform's counts for one build and class over a period."""
 
     build: Uint16
     cls: str
@@ -81,7 +81,7 @@
 
 
 class ComplaintNews(msgspec.Struct, frozen=True, rename={"cls": "class"}):
-    """A client found an answer wrong."""
+    """A client's report that an answer was wrong."""
 
     cls: str
     server: Uint32
@@ -89,7 +89,7 @@
 
 
 class Vote(msgspec.Struct, frozen=True):
-    """A vote; `stage` does not matter for back and none."""
+    """A vote; `stage` is ignored for the verdicts back and none."""
 
     agent: int
     build: int
@@ -98,7 +98,7 @@
 
 
 class VoteAnswer(msgspec.Struct, frozen=True):
-    """The desk's answer to a vote, with where the build stands and that state's event id."""
+    """The desk's answer to a vote, with the build's stage and the event id of that state."""
 
     status: Literal["ok", "moot"]
     state: Stage
@@ -106,13 +106,13 @@
 
 
 def event_id(epoch: str, number: int) -> str:
-    """An event's id: the epoch changes when the source forgets its numbers."""
+    """Build an event id; the epoch changes when the source loses its numbering."""
     return f"{epoch}:{number}"
 
 
 def parse_event_id(text: str) -> tuple[str, int]:
-    """Epoch and number of an event id; ValueError for anything else."""
+    """Split an event id into epoch and number; ValueError if it is malformed."""
     epoch, colon, number = text.rpartition(":")
     if not colon or not number.isdigit():
-        raise ValueError(f"{text!r} is no event id")
+        raise ValueError(f"{text!r} is not an event id")
     return epoch, int(number)
--- a/otterquay/protocol/orca.py
+++ b/otterquay/protocol/orca.py
@@ -1,4 +1,4 @@
-"""Load reports in answers: ORCA's header form (xds.data.orca.v3, native HTTP: `TEXT` and `JSON`)."""
+"""Load reports in response headers, in ORCA's native HTTP formats `TEXT` and `JSON` (xds.data.orca.v3)."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def parse(header: bytes, fields: Sequence[LoadField]) -> tuple[float, ...]:
-    """The values of `fields`, in their order; empty when the report is absent, broken or incomplete."""
+    """The values of `fields` in their order; empty if the report is missing, malformed or incomplete."""
     try:
         format, _, text = header.decode("ascii").partition(" ")
         if format == "JSON":
@@ -48,5 +48,5 @@
 
 
 def encode(values: dict[LoadField, float]) -> bytes:
-    """A report in the `TEXT` form."""
+    """Encode a report in the `TEXT` format."""
     return b"TEXT " + ",".join(f"{METRIC_NAMES[f]}={v:g}" for f, v in values.items()).encode()
--- a/otterquay/protocol/peer.py
+++ b/otterquay/protocol/peer.py
@@ -1,9 +1,9 @@
 """Messages between agents as authenticated datagrams, without I/O.
 
-Each datagram carries a keyed BLAKE3 tag over all before it. Data counts only under a ticket that the receiver
-itself drew for this sender since its own start, and only once for each number under it (a sliding window as in
-RFC 4303 section 3.4.3), so that neither a recording from before a restart nor a copy is taken twice. A sender
-without a ticket says hello, keeps a few messages back and sends them once the ticket has come.
+Each datagram ends with a keyed BLAKE3 tag over the bytes before it. A data datagram is accepted only with a ticket
+that the receiver drew at random for this sender since its own start, and only once for each sequence number under
+that ticket (a sliding window as in RFC 4303 section 3.4.3). This rejects duplicates and datagrams recorded before a
+restart. A sender without a ticket sends HELLO, queues a few messages and sends them once it has received a TICKET.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 
 class PeerRefused(Exception):
-    """A datagram that is not taken; the text says why."""
+    """A datagram that is rejected; the message gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Hand these words of another agent on."""
+    """Pass on a message from another agent."""
 
     sender: int
     data: bytes
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transmit:
-    """Send this datagram to that agent."""
+    """Send a datagram to an agent."""
 
     to: int
     datagram: bytes
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class _Inbound:
-    """What was drawn for one sender: the ticket in force and one offered but not yet used."""
+    """Receive state for one sender: the ticket in use, one offered but not used yet, and the replay window."""
 
     ticket: int = 0
     offered: int = 0
@@ -55,7 +55,7 @@
 
     def accept_number(self, number: int) -> bool:
         if number > self.highest:
-            ahead = min(number - self.highest, WINDOW)  # a shift by all that a datagram can name has no end
+            ahead = min(number - self.highest, WINDOW)  # bounds the shift: a sender may jump ahead by up to 2**64
             self.seen_bits = (self.seen_bits << ahead | 1) & ((1 << WINDOW) - 1)
             self.highest = number
             return True
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class _Outbound:
-    """What we hold towards one receiver."""
+    """Send state for one receiver."""
 
     ticket: int = 0
     nonce: int = 0
@@ -77,7 +77,7 @@
 
 
 class PeerLink:
-    """All links of one agent. `key` is 32 bytes shared by the group; chance comes from `rng`."""
+    """All links of one agent. `key` is the 32 bytes shared by the group; tickets and nonces come from `rng`."""
 
     def __init__(self, me: int, peers: int, key: bytes, rng: random.Random) -> None:
         if len(key) != 32:
@@ -95,9 +95,9 @@
         return Transmit(to, body + blake3(body, key=self._key).digest(length=TAG_BYTES))
 
     def tell(self, to: int | None, data: bytes) -> list[Transmit]:
-        """Datagrams that carry `data` to one agent or to all others; held ones leave later."""
+        """Datagrams that carry `data` to one agent, or to all others if None; without a ticket, data is queued."""
         if len(data) > MAX_MESSAGE_BYTES:
-            raise ValueError(f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} may be sent")
+            raise ValueError(f"message has {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are allowed")
         sent = []
         for peer in range(self._peers) if to is None else [to]:
             if peer == self._me:
@@ -116,15 +116,15 @@
         return sent
 
     def receive(self, datagram: bytes) -> list[Deliver | Transmit]:
-        """What to do about a datagram; PeerRefused for one that is forged, cut short, stale or a repeat."""
+        """Actions for a received datagram; PeerRefused if it is forged, truncated, stale or a duplicate."""
         if not HEADER.size + TAG_BYTES <= len(datagram) <= MAX_DATAGRAM_BYTES:
-            raise PeerRefused(f"{len(datagram)} bytes are no datagram of ours")
+            raise PeerRefused(f"{len(datagram)} bytes is not a valid datagram size")
         body, tag = datagram[:-TAG_BYTES], datagram[-TAG_BYTES:]
         if blake3(body, key=self._key).digest(length=TAG_BYTES) != tag:
-            raise PeerRefused("forged, or another key")
+            raise PeerRefused("authentication tag does not match: forged, or another key")
         magic, kind, sender, to, first, second = HEADER.unpack_from(body)
         if magic != MAGIC or to != self._me or sender == self._me or sender >= self._peers:
-            raise PeerRefused(f"from {sender} to {to}: not for us")
+            raise PeerRefused(f"from {sender} to {to}: not addressed to this agent")
         if kind == HELLO:
             link = self._in.setdefault(sender, _Inbound())
             link.offered = link.offered or self._random_id()
@@ -135,19 +135,19 @@
             return self._handle_data(sender, first, second, body[HEADER.size :])
         if kind == RESET:
             return list(self._handle_reset(sender, first))
-        raise PeerRefused(f"unknown kind {kind}")
+        raise PeerRefused(f"unknown datagram kind {kind}")
 
     def _handle_reset(self, sender: int, ticket: int) -> list[Transmit]:
         out = self._out.get(sender)
         if out is None or not out.ticket or ticket != out.ticket:
-            raise PeerRefused(f"from {sender}: a reset of a ticket that we do not use")
+            raise PeerRefused(f"from {sender}: RESET of a ticket that is not in use")
         out.ticket, out.nonce = 0, self._random_id()
         return [self._seal(HELLO, sender, out.nonce, 0)]
 
     def _handle_ticket(self, sender: int, ticket: int, nonce: int) -> list[Transmit]:
         out = self._out.get(sender)
         if out is None or not out.nonce or nonce != out.nonce:
-            raise PeerRefused(f"from {sender}: a ticket that we did not ask for")
+            raise PeerRefused(f"from {sender}: TICKET that was not requested")
         out.ticket, out.nonce, out.number = ticket, 0, 0
         pending, out.pending = out.pending, []
         return [transmit for data in pending for transmit in self.tell(sender, data)]
@@ -157,7 +157,7 @@
         if link.offered and ticket == link.offered:
             self._in[sender] = link = _Inbound(ticket=ticket)
         if not link.ticket or ticket != link.ticket:
-            return [self._seal(RESET, sender, ticket, 0)]  # it must say hello again; this message is lost
+            return [self._seal(RESET, sender, ticket, 0)]  # the sender must send HELLO again; this message is lost
         if not link.accept_number(number):
-            raise PeerRefused(f"from {sender}: message {number} came before")
+            raise PeerRefused(f"from {sender}: message {number} is a duplicate or too old")
         return [Deliver(sender, data)]
--- a/otterquay/protocol/platform.py
+++ b/otterquay/protocol/platform.py
@@ -1,4 +1,4 @@
-"""The platform's lines, without I/O: what its state, signs of life and answers say, and the calls it takes."""
+"""Codec of the platform's line protocol, without I/O: state notifications, heartbeats, answers and votes."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from otterquay import interface as it
 
-MAX_LINE_BYTES = 8191  # bytes; at 8 KiB a line ends the connection
+MAX_LINE_BYTES = 8191  # lines of 8 KiB and more end the connection
 PHASES = {
     b"testing": it.Phase.TRIAL,
     b"recalling": it.Phase.GOING_BACK,
@@ -24,19 +24,19 @@
     b"Throttling": it.Status.FULL,
     b"ConditionFailed": it.Status.MOOT,
     b"InternalFailure": it.Status.ERROR,
-    b"ValidationError": it.Status.MOOT,  # no such call or field here: as good as a state that has passed
+    b"ValidationError": it.Status.MOOT,  # unknown call or field: handled like a vote on an outdated state
 }
 _NUMBER = re.compile(rb"\d{1,12}(\.\d{1,9})?(e[+-]?\d{1,2})?")
-IGNORED_KINDS = {b"metrics", b"complaint"}  # told where the settings ask for them; their fields are not laid down
+IGNORED_KINDS = {b"metrics", b"complaint"}  # sent if the settings ask for them; their fields are not specified
 
 
 class MalformedLine(ValueError):
-    """A line that cannot be read: the connection can no longer be used."""
+    """A line that cannot be parsed; the connection can no longer be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class BuildState:
-    """Where the newest build stands; the age in milliseconds."""
+    """Stage of the newest build; `age_ms` is the age of this state."""
 
     build: int
     stage: int
@@ -47,21 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Notification:
-    """A line that came unasked; None for a sign of life or news of a kind that is passed over."""
+    """An unsolicited line; `state` is None for a heartbeat or a notification of an ignored kind."""
 
     state: BuildState | None
 
 
 @dataclass(frozen=True, slots=True)
 class CallAnswer:
-    """The answer to the oldest call that has none."""
+    """The answer to the oldest unanswered call."""
 
     status: it.Status
     state: BuildState | None
 
 
 def parse_state(arguments: list[bytes], stages: int) -> BuildState:
-    """Five words; Noise for anything but a state that can be."""
+    """Parse the five arguments of a state; MalformedLine if they are malformed or out of range."""
     if (
         len(arguments) != 5
         or arguments[2] not in PHASES
@@ -77,7 +77,7 @@
 
 
 def parse_line(line: bytes, stages: int) -> Notification | CallAnswer:
-    """What a line says, without its end; Noise if it says nothing."""
+    """Parse a line without its line ending; MalformedLine if that fails."""
     arguments = line.split(b" ")
     if arguments[0] == b"*":
         if len(arguments) == 1 or arguments[1] in IGNORED_KINDS:
@@ -92,5 +92,5 @@
 
 
 def encode_vote(vote: it.CastVote) -> bytes:
-    """A vote's line."""
+    """Encode a vote as a line."""
     return b"SAY %d %d %b\r\n" % (vote.build, vote.stage, VERDICTS[vote.verdict])
--- a/otterquay/protocol/resp.py
+++ b/otterquay/protocol/resp.py
@@ -1,8 +1,8 @@
-"""RESP2 as the platform speaks it, without I/O: commands of clients in, answers of appliances in, both bounded.
+"""The platform's dialect of RESP2, without I/O: bounded parsers of client commands and appliance answers.
 
-A command is an array of bulk strings. An answer is an error or simple line, a bulk string, or an array of value,
-null and load report, which may be null too. What cannot be read sets `failed`; nothing after it is read. A length
-is checked before the bytes that it announces are kept.
+A command is an array of bulk strings. An answer is an error, a simple string, a bulk string, or an array of value,
+null and load report (which may be null, too). Malformed input sets `failed` and ends parsing. Lengths are checked
+before the bytes that they announce are buffered.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from otterquay.protocol.http import ProtocolError
 
-MAX_VALUE_BYTES = 65536  # bytes of a value or body
-MAX_ARGUMENT_BYTES = 1024  # bytes of a command's other words
+MAX_VALUE_BYTES = 65536  # of a value or body
+MAX_ARGUMENT_BYTES = 1024  # of any other argument of a command
 MAX_ARRAY_ITEMS = 8
-MAX_LINE_BYTES = 512  # bytes of an error or simple line
-MAX_LENGTH_LINE_BYTES = 20  # bytes of a line that holds a length
+MAX_LINE_BYTES = 512  # of an error or simple string
+MAX_LENGTH_LINE_BYTES = 20  # of a line that holds an array or bulk length
 
 
 class _BufferedParser:
-    """Lines and bulk strings out of what has come so far."""
+    """Reads lines and bulk strings from the bytes received so far."""
 
     def __init__(self) -> None:
         self.failed: ProtocolError | None = None
@@ -29,7 +29,7 @@
 
     @property
     def has_unread(self) -> bool:
-        """Whether bytes lie here that no whole message has taken."""
+        """Whether buffered bytes are not yet part of a complete message."""
         return self._position < len(self._buffer)
 
     def _append(self, data: bytes) -> None:
@@ -49,7 +49,7 @@
         return line
 
     def _read_length(self, sign: bytes, limit: int) -> int | None:
-        """A line of sign and length, -1 for null; None while it is not whole."""
+        """Read a line of type byte and length, -1 for null; None while it is incomplete."""
         if self._buffer[self._position : self._position + 1] not in (b"", sign):
             raise ProtocolError(400, f"{sign.decode()!r} was wanted")
         line = self._read_line(MAX_LENGTH_LINE_BYTES)
@@ -76,21 +76,21 @@
 
 
 class CommandParser(_BufferedParser):
-    """Bytes of one client connection in, whole commands out; any number may come in one feed."""
+    """Parses the bytes of one client connection into commands."""
 
     def __init__(self) -> None:
         super().__init__()
         self._arguments: list[bytes] = []
-        self._argument_count = 0  # words of the command in the making
-        self._bulk_length = -1  # of the word in the making
+        self._argument_count = 0  # arguments announced for the current command
+        self._bulk_length = -1  # of the current argument, -1 before its length was read
 
     @property
     def started(self) -> bool:
-        """Whether a command has begun and is not whole."""
+        """Whether a command is incomplete."""
         return self._argument_count > 0 or self.has_unread
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """The commands that these bytes complete; those before what cannot be read stay whole."""
+        """The commands that these bytes complete, including those before malformed input."""
         complete: list[list[bytes]] = []
         if self.failed:
             return complete
@@ -132,29 +132,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """An appliance's answer: its first byte tells the kind, `value` is the line or value, `load` the report."""
+    """An appliance's answer: `kind` is its type byte, `value` the line or value, `load` the load report."""
 
-    kind: bytes  # b"*" served, b"$" a bulk string, b"+" a simple line, b"-" an error
+    kind: bytes  # b"*" value with load report, b"$" bulk string, b"+" simple string, b"-" error
     value: bytes
     load: bytes = b""
     keep_alive: bool = True
 
 
 class AnswerParser(_BufferedParser):
-    """Bytes of one appliance connection in, whole answers out.
+    """Parses the bytes of one appliance connection into answers.
 
-    Once the value and the null after it have come, the value is good whatever the report is: one that cannot be
-    read counts as none, and the connection is not used again.
+    Once the value and the null after it were received, the answer counts whatever the load report is: a malformed
+    report is treated as missing, and the connection is not used again.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self._kind, self._items_read, self._bulk_length = b"", -1, -1  # step: parts of an array that have come
+        self._kind, self._items_read, self._bulk_length = b"", -1, -1  # -1: length not read yet
         self._value = b""
 
     @property
     def started(self) -> bool:
-        """Whether an answer has begun and is not whole."""
+        """Whether an answer is incomplete."""
         return bool(self._kind) or self.has_unread
 
     def feed(self, data: bytes) -> Sequence[Answer]:
@@ -175,7 +175,7 @@
         return complete
 
     def eof(self) -> Answer | None:
-        """The answer whose report the end of the connection cut off, if any."""
+        """The answer whose load report was cut off by the end of the connection, if any."""
         return Answer(b"*", self._value, b"", False) if self._items_read == 2 and not self.failed else None
 
     def _parse_next(self) -> Answer | None:
@@ -184,13 +184,13 @@
                 return None
             self._kind = bytes(self._buffer[self._position : self._position + 1])
             if self._kind not in (b"*", b"$", b"+", b"-"):
-                raise ProtocolError(502, "bytes that begin no answer")
+                raise ProtocolError(502, "answer starts with an unknown type byte")
         if self._kind in (b"+", b"-"):
             line = self._read_line(MAX_LINE_BYTES)
             if line is None:
                 return None
             if not line.isascii() or not line.decode().isprintable():
-                raise ProtocolError(502, "a line that cannot be read")
+                raise ProtocolError(502, "line is not printable ASCII")
             return self._finish(Answer(self._kind, line[1:]))
         if self._kind == b"*":
             return self._read_array()
@@ -198,7 +198,7 @@
         if value is None:
             return None
         if isinstance(value, bool):
-            raise ProtocolError(502, "null for an answer")
+            raise ProtocolError(502, "answer is a null bulk string")
         return self._finish(Answer(b"$", value))
 
     def _read_array(self) -> Answer | None:
@@ -207,7 +207,7 @@
             if count is None:
                 return None
             if count != 3:
-                raise ProtocolError(502, f"an array of {count}")
+                raise ProtocolError(502, f"answer is an array of {count} instead of 3")
             self._items_read = 0
         while True:
             item = self._read_bulk_or_null()
@@ -215,17 +215,17 @@
                 return None
             if self._items_read == 0:
                 if isinstance(item, bool):
-                    raise ProtocolError(502, "null for a value")
+                    raise ProtocolError(502, "value in the answer is null")
                 self._value = item
             elif self._items_read == 1:
                 if not isinstance(item, bool):
-                    raise ProtocolError(502, "more than a value")
+                    raise ProtocolError(502, "second item of the answer is not null")
             else:
                 return self._finish(Answer(b"*", self._value, b"" if isinstance(item, bool) else item))
             self._items_read += 1
 
     def _read_bulk_or_null(self) -> bytes | bool | None:
-        """A bulk string, True for null; None while it is not whole."""
+        """Read a bulk string, True for null; None while it is incomplete."""
         if self._bulk_length < 0:
             size = self._read_length(b"$", MAX_VALUE_BYTES)
             if size is None:
@@ -244,26 +244,26 @@
 
 
 def encode_command(arguments: Sequence[bytes]) -> bytes:
-    """A command's bytes."""
+    """Encode a command."""
     return b"*%d\r\n" % len(arguments) + b"".join(
         [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     )
 
 
 def encode_bulk(value: bytes) -> bytes:
-    """A bulk string's bytes."""
+    """Encode a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def encode_error(text: str) -> bytes:
-    """An error line's bytes."""
+    """Encode an error."""
     return (
         b"-" + text.encode("ascii", "replace").replace(b"\r", b" ").replace(b"\n", b" ")[:MAX_LINE_BYTES] + b"\r\n"
     )
 
 
 def parse_load_report(text: bytes, names: Sequence[Sequence[bytes]]) -> tuple[float, ...]:
-    """The report's values in the order of `names`, each of which may have several spellings; () if one lacks."""
+    """The report's values in the order of `names`, which lists the spellings of each; () if one is missing."""
     found: dict[bytes, float] = {}
     for item in text.split(b","):
         name, equals, digits = item.partition(b"=")
--- a/otterquay/protocol/sse.py
+++ b/otterquay/protocol/sse.py
@@ -1,4 +1,4 @@
-"""Server-sent events (WHATWG HTML, section 9.2): a bounded parser and a writer, without I/O."""
+"""Server-sent events (WHATWG HTML, section 9.2): a bounded parser and an encoder, without I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SseEvent:
-    """One event; `id` is the last id seen on the stream, empty before the first."""
+    """One event; `id` is the last event id on the stream, empty before the first."""
 
     event: str
     data: str
@@ -15,11 +15,11 @@
 
 
 class SseError(Exception):
-    """The stream cannot be read on: an event over its bound, or bytes that are not UTF-8."""
+    """The stream cannot be parsed any further: an event is too large, or bytes are not UTF-8."""
 
 
 class SseParser:
-    """Bytes in, events out; a comment line counts as life but is no event."""
+    """Parses bytes into events; comment lines serve as heartbeats and yield no event."""
 
     def __init__(self, max_event: int = 4194304) -> None:
         self._max_event = max_event
@@ -38,13 +38,13 @@
         self._partial_line = lines.pop()
         self._size += len(data)
         if self._size > self._max_event:
-            raise SseError(f"an event over {self._max_event} bytes")
+            raise SseError(f"event is over {self._max_event} bytes")
         events = []
         for line in lines:
             try:
                 completed = self._process_line(line.decode("utf-8"))
             except UnicodeDecodeError:
-                raise SseError("not UTF-8") from None
+                raise SseError("event stream is not valid UTF-8") from None
             if completed:
                 events.append(completed)
             if not line:
@@ -71,7 +71,7 @@
 
 
 def encode_event(event: str, data: str, id: str) -> bytes:
-    """One event as bytes; `data` may hold newlines."""
+    """Encode one event; `data` may contain newlines."""
     body = "".join(f"data: {line}\n" for line in data.split("\n"))
     return f"event: {event}\nid: {id}\n{body}\n".encode()
 
--- a/otterquay/protocol/targets.py
+++ b/otterquay/protocol/targets.py
@@ -1,7 +1,7 @@
-"""Discovery's list, without I/O: JSON entries become entries of the agent's own list book.
+"""Codec of discovery's server list, without I/O: JSON instances become entries of the agent's fleet list.
 
-`instanceId` becomes the server's number by a hash, so that every agent calls a server by the same number. Times are
-Unix milliseconds and turned into ages by the wall clock that is handed in.
+The server number is a hash of `instanceId`, so that all agents use the same number for a server. Times are Unix
+milliseconds and are converted to ages with the wall clock time that the caller passes.
 """
 
 from __future__ import annotations
@@ -42,28 +42,28 @@
 
 
 def server_number(instance: str) -> int:
-    """A server's number, the same at every agent."""
+    """Server number of an instance id, the same at every agent."""
     return int.from_bytes(blake2b(instance.encode(), digest_size=4).digest())
 
 
 def _incarnation(found: _Instance) -> int:
-    """Changes with every start and every build of an instance."""
+    """Incarnation of an instance; changes with its start time and its build."""
     return int.from_bytes(blake2b(f"{found.started_at_ms} {found.version_no}".encode(), digest_size=7).digest())
 
 
 class TargetReader:
-    """Reads lists; remembers which name has which number, to refuse one whose number is taken."""
+    """Parses lists; tracks the instance id of each server number, to reject an instance whose number collides."""
 
     def __init__(self, kinds: list[str]) -> None:
         self._kinds = {name: i for i, name in enumerate(kinds)}
         self._instance_by_number: dict[int, str] = {}
 
     def read(self, data: bytes, wall_ms: float) -> tuple[bool, news.FleetNews, list[str]]:
-        """Whether the list is whole, its entries, and why some were left out. ValueError for what is no list."""
+        """Whether the list is complete, its entries, and why some were rejected. ValueError if it is malformed."""
         try:
             found: _TargetList = msgspec.json.decode(data, type=_TargetList)
         except msgspec.MsgspecError as error:
-            raise ValueError(f"no list: {error}") from None
+            raise ValueError(f"malformed server list: {error}") from None
         entries, refused = list[news.Entry](), list[str]()
         if found.reset:
             self._instance_by_number = {}
@@ -76,10 +76,10 @@
 
     def _entry(self, found: _Instance, wall_ms: float) -> news.Entry:
         if found.lifecycle != "terminated" and not _IPV4_ADDRESS.fullmatch(found.host_port):
-            raise ValueError(f"{found.host_port!r} is no address")
+            raise ValueError(f"{found.host_port!r} is not an IPv4 address with port")
         number = server_number(found.instance_id)
         if self._instance_by_number.setdefault(number, found.instance_id) != found.instance_id:
-            raise ValueError(f"its number is that of {self._instance_by_number[number]}")
+            raise ValueError(f"server number collides with that of {self._instance_by_number[number]}")
         if found.lifecycle == "terminated":
             del self._instance_by_number[number]
         age = wall_ms - found.started_at_ms if found.started_at_ms > 0 else None
--- a/tests/noderig.py
+++ b/tests/noderig.py
@@ -1,4 +1,4 @@
-"""An agent in service between scripted appliances, discovery and platform, and raw client sockets, on loopback."""
+"""Test rig: a production agent on loopback with scripted appliances, discovery and platform, and client sockets."""
 
 from __future__ import annotations
 
@@ -62,17 +62,17 @@
 
 
 def served(value: bytes, report: bytes = b"$9\r\npending=1\r\n") -> bytes:
-    """An appliance's good answer."""
+    """An appliance's answer with a value and a load report."""
     return b"*3\r\n" + resp.encode_bulk(value) + b"$-1\r\n" + report
 
 
 def answer_at_once(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
-    """Answer at once with the value made for this request."""
+    """Answer immediately with a value that names the request."""
     writer.write(served(b"for " + words[2]))
 
 
 def answer_bytes(data: bytes, close: bool = False) -> Behave:
-    """Answer with these bytes, whatever they are."""
+    """Answer with these raw bytes."""
 
     def behave(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
         writer.write(data)
@@ -86,8 +86,8 @@
     """Never answer."""
 
 
-class Party:
-    """A listener that keeps its connections; `converse` is the party's own."""
+class StandIn:
+    """Base of the stand-ins: a listener that tracks its connections; subclasses implement `converse`."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -111,18 +111,18 @@
             self.writers.remove(writer)
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Speak with one that has connected."""
+        """Serve one connection."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Stop."""
+        """Close the listener and all connections."""
         self.server.close()
         for writer in self.writers:
             writer.close()
 
 
-class Appliance(Party):
-    """A scripted appliance; `behave` may be replaced at any time."""
+class Appliance(StandIn):
+    """A scripted appliance; `behave` is called for each command and may be replaced at any time."""
 
     def __init__(self, behave: Behave = answer_at_once) -> None:
         super().__init__()
@@ -137,8 +137,8 @@
                 self.behave(self, writer, words)
 
 
-class Discovery(Party):
-    """The list by long poll; `spoil` is sent in place of the next answers, `silent` answers nothing."""
+class Discovery(StandIn):
+    """The list by long poll; `corrupt_answers` replace the next answers, `silent` withholds all answers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -147,16 +147,16 @@
         self.asked: list[str] = []
         self.on_sent: Callable[[list[dict[str, Any]], bool], None] = (
             lambda entries, whole: None
-        )  # hears what goes out
+        )  # called with everything sent
 
     def set(self, id: str, **fields: Any) -> None:
-        """Change an entry and tell it; one whose `lifecycle` is terminated is told once."""
+        """Change an entry and publish it; a terminated entry is published once."""
         self.generation += 1
         self.entries[id] = {**self.entries.get(id, {}), **fields, "instanceId": id, "of": self.generation}
         self.changed.set()
 
     def listing(self, after: int | None) -> bytes:
-        """The JSON of the whole list, or of what is later."""
+        """The JSON of the whole list, or of the changes since generation `after`."""
         found = [
             {"zone": "north", "machineType": "std", "cell": 0, "weight": 1.0, "startedAtMs": 0, **e}
             for e in self.later(after)
@@ -164,7 +164,7 @@
         return json.dumps({"generation": self.generation, "reset": after is None, "instances": found}).encode()
 
     def later(self, after: int | None) -> list[dict[str, Any]]:
-        """The entries of the whole list, or of what is later."""
+        """The entries of the whole list, or of the changes since generation `after`."""
         if after is None:
             return [e for e in self.entries.values() if e["lifecycle"] != "terminated"]
         return [e for e in self.entries.values() if e["of"] > after]
@@ -179,7 +179,7 @@
             if self.silent:
                 await asyncio.Event().wait()
             if writer.is_closing() or peer_closed(writer.transport):
-                return  # who asked has gone meanwhile
+                return  # the agent has disconnected meanwhile
             since = int(after[1]) if after else None
             if self.corrupt_answers:
                 body = self.corrupt_answers.pop()
@@ -189,14 +189,14 @@
             writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n%b" % (len(body), body))
 
 
-class Desk(Party):
-    """The platform; `answer` makes the answer to a vote, None for none."""
+class Desk(StandIn):
+    """The platform; `answer` returns the answer to a vote, or None to send none."""
 
     def __init__(self) -> None:
         super().__init__()
         self.state, self.votes = b"1 0 live 1 5", list[bytes]()
         self.answer: Callable[[bytes], bytes | None] = lambda _: b"OK " + self.state + b"\r\n"
-        self.on_sent: Callable[[bytes, bool], None] = lambda state, first: None  # hears what goes out
+        self.on_sent: Callable[[bytes, bool], None] = lambda state, first: None  # called with everything sent
 
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readuntil(b"\r\n"):
@@ -210,21 +210,21 @@
                     writer.write(answer)
 
     def publish(self, state: bytes) -> None:
-        """News of the newest build."""
+        """Set the state of the newest build and notify subscribers."""
         self.state = state
         if any(not writer.is_closing() and not peer_closed(writer.transport) for writer in self.writers):
             self.on_sent(state, False)
         self.broadcast(b"* progress " + state + b"\r\n")
 
     def broadcast(self, data: bytes) -> None:
-        """Send to all that listen."""
+        """Send bytes to all connections."""
         for writer in self.writers:
             if not writer.is_closing():
                 writer.write(data)
 
 
 class Rig(Watch):
-    """Use as `async with`; one agent and `count` appliances `s-0`, `s-1`, … of build 1 in the north."""
+    """Async context manager: one agent and `count` appliances `s-0`, `s-1`, … of build 1 in zone north."""
 
     def __init__(self, count: int = 2, sockets: int = 256, seed: int = 1, **changes: Any) -> None:
         self.count, self.sockets, self.seed, self.changes = count, sockets, seed, changes
@@ -236,11 +236,11 @@
         self._ids = 0
 
     def config(self, **changes: Any) -> NodeConfig:
-        """The agent's file, decoded."""
+        """The agent's parsed configuration."""
         return read_config(self.file(**changes))
 
     def file(self, only: bytes | None = None, **changes: Any) -> bytes:
-        """The agent's file, or these bytes in its place."""
+        """The agent's configuration file, or the bytes given as `only`."""
         if only is not None:
             return only
         file = {
@@ -267,11 +267,11 @@
         self.node = Node(self.config(), random.Random(self.seed), lambda: self.wall(), silent())
         handle = self.node._agent.handle
 
-        def noted(now: float, event: it.Event) -> list[it.Action]:
+        def recorded_handle(now: float, event: it.Event) -> list[it.Action]:
             self.events.append(event)
             return handle(now, event)
 
-        self.node._agent.handle = noted  # type: ignore[method-assign]
+        self.node._agent.handle = recorded_handle  # type: ignore[method-assign]
         self.address = await self.node.start()
         await self.until(lambda: len(self.seen(it.ServerList)) > 1 and len(self.seen(it.StageNews)) > 1)
         return self
@@ -280,8 +280,8 @@
         for writer in self.writers:
             writer.close()
         self.node.close()
-        for party in (*self.appliances, self.discovery, self.desk):
-            party.close()
+        for stand_in in (*self.appliances, self.discovery, self.desk):
+            stand_in.close()
         await asyncio.sleep(0)
 
     # --- clients ---
@@ -298,20 +298,20 @@
         return resp.encode_command([b"SVC.SUBMIT", *words, b"the body\r\n\0"])
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A raw connection to the agent."""
+        """Open a client connection to the agent."""
         reader, writer = await asyncio.open_connection(*self.address)
         self.writers.append(writer)
         return reader, writer
 
     async def exchange(self, data: bytes) -> bytes:
-        """One answer, or b"" for a close, to these bytes on a connection of their own."""
+        """Send bytes on a new connection; returns the first answer, or b"" if the agent closes it."""
         reader, writer = await self.connect()
         writer.write(data)
         return await answer(reader)
 
 
 async def answer(reader: asyncio.StreamReader) -> bytes:
-    """The next answer on a client's connection: a line, or the value of a bulk string; b"" for a close."""
+    """The next answer on a client connection: a line or the value of a bulk string; b"" if it was closed."""
     try:
         async with asyncio.timeout(20):
             line = await reader.readuntil(b"\r\n")
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""Codecs: any cutting of the bytes gives the same messages, every bound holds, nothing false is taken."""
+"""Codecs: results do not depend on how the bytes are split, limits hold, malformed input is rejected."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
     assert whole and whole.body == b"half" and not whole.keep_alive
     parser = ResponseParser()
     parser.feed(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf")
-    assert parser.eof() is None, "a framed answer cut short is no answer"
+    assert parser.eof() is None, "a truncated response with content-length is incomplete"
 
 
 # --- server-sent events ---
@@ -157,7 +157,7 @@
 
 
 def carry(links: dict[int, PeerLink], transmits: list[Transmit]) -> tuple[list[bytes], list[Transmit]]:
-    """Deliver all, and what that brings; the words heard and every datagram that crossed."""
+    """Deliver all datagrams and the replies to them; returns the messages received and all datagrams sent."""
     heard, crossed, waiting = list[bytes](), list[Transmit](), list(transmits)
     while waiting:
         one = waiting.pop(0)
@@ -203,7 +203,7 @@
     links = {0: a, 1: b}
     carry(links, a.tell(1, b"one"))
     links[1] = PeerLink(1, 2, KEY, random.Random(4))
-    assert carry(links, a.tell(1, b"lost"))[0] == []  # under the old ticket: lost, and a hello follows
+    assert carry(links, a.tell(1, b"lost"))[0] == []  # sent with the old ticket: lost, and HELLO follows
     assert carry(links, a.tell(1, b"two"))[0] == [b"two"]
     links[0] = PeerLink(0, 2, KEY, random.Random(5))
     assert carry(links, links[0].tell(1, b"three"))[0] == [b"three"]
@@ -217,12 +217,12 @@
     heard = [b.receive(one.datagram)[0] for one in sent]
     assert sorted(h.data for h in heard if isinstance(h, Deliver)) == [bytes([i]) for i in range(40)]
     for one in sent:
-        with pytest.raises(PeerRefused, match="came before"):
+        with pytest.raises(PeerRefused, match="duplicate or too old"):
             b.receive(one.datagram)
     old = a.tell(1, b"old")[0]
     for _ in range(64):
         b.receive(a.tell(1, b"new")[0].datagram)
-    with pytest.raises(PeerRefused, match="came before"):
+    with pytest.raises(PeerRefused, match="duplicate or too old"):
         b.receive(old.datagram)
 
 
@@ -238,7 +238,7 @@
     other = PeerLink(0, 2, bytes(32), random.Random(1))
     with pytest.raises(PeerRefused, match="forged"):
         b.receive(other.tell(1, b"x")[0].datagram)
-    with pytest.raises(PeerRefused, match="not for us"):
+    with pytest.raises(PeerRefused, match="not addressed to this agent"):
         a.receive(good)
     assert b.receive(good) == [Deliver(0, b"words")]
 
@@ -254,5 +254,5 @@
     assert heard == [bytes([i]) for i in range(3, MAX_PENDING_MESSAGES + 3)]
     carry({0: a, 1: b}, a.tell(1, bytes(MAX_MESSAGE_BYTES)))
     body = crossed[0].datagram[:-16] + bytes(MAX_DATAGRAM_BYTES)
-    with pytest.raises(PeerRefused, match="no datagram of ours"):
+    with pytest.raises(PeerRefused, match="not a valid datagram size"):
         b.receive(body + blake3(body, key=KEY).digest(length=16))
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -1,4 +1,4 @@
-"""The platform's words without sockets: whole, byte by byte, cut at every place, and spoilt."""
+"""Codecs of the platform without sockets: complete input, input split at any byte, and malformed input."""
 
 from __future__ import annotations
 
