--- a/otterquay/node/platform.py
+++ b/otterquay/node/platform.py
@@ -155,13 +155,10 @@
             return
         if not self._calls:
             raise codec.MalformedLine("answer without a pending call")
-        plain_ok = (
-            line.status is it.Status.OK and line.state is None
-        )  # the answer to SUB; a vote is answered with a state
+        plain_ok = line.status is it.Status.OK and line.state is None  # answers SUB; a vote's OK has a state
         if plain_ok is not (self._calls[0] is None):
-            raise codec.MalformedLine(
-                "answer does not fit the oldest call"
-            )  # the pending vote may still have counted
+            # ends the connection: the pending vote, which may have counted, ends with a timeout
+            raise codec.MalformedLine("answer does not fit the oldest call")
         done = self._calls.popleft()
         if done is None:
             return
--- a/tests/noderig.py
+++ b/tests/noderig.py
@@ -66,15 +66,15 @@
     return b"*3\r\n" + resp.encode_bulk(value) + b"$-1\r\n" + report
 
 
-def answer_at_once(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
+def answer_at_once(appliance: Appliance, writer: asyncio.StreamWriter, arguments: list[bytes]) -> None:
     """Answer immediately with a value that names the request."""
-    writer.write(served(b"for " + words[2]))
+    writer.write(served(b"for " + arguments[2]))
 
 
 def answer_bytes(data: bytes, close: bool = False) -> Behave:
     """Answer with these raw bytes."""
 
-    def behave(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
+    def behave(appliance: Appliance, writer: asyncio.StreamWriter, arguments: list[bytes]) -> None:
         writer.write(data)
         if close:
             writer.close()
@@ -82,7 +82,7 @@
     return behave
 
 
-def never_answer(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
+def never_answer(appliance: Appliance, writer: asyncio.StreamWriter, arguments: list[bytes]) -> None:
     """Never answer."""
 
 
@@ -131,10 +131,10 @@
     async def converse(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         parser = resp.CommandParser()
         while data := await reader.read(65536):
-            for words in parser.feed(data):
-                self.got.append(words)
+            for arguments in parser.feed(data):
+                self.got.append(arguments)
                 self.at.append(asyncio.get_running_loop().time())
-                self.behave(self, writer, words)
+                self.behave(self, writer, arguments)
 
 
 class Discovery(StandIn):
@@ -291,11 +291,21 @@
         """The bytes of a request."""
         self._ids += 1
         name = id or f"{self._ids:016x}"
-        said = {"c": cls, "t": "first", "d": str(d), **({"k": "0c"} if cls == "queue-join" else {}), **options}
-        words = [name.encode() * 2, name.encode(), ",".join(f"{k}={v}" for k, v in said.items()).encode()]
+        options_by_name = {
+            "c": cls,
+            "t": "first",
+            "d": str(d),
+            **({"k": "0c"} if cls == "queue-join" else {}),
+            **options,
+        }
+        arguments = [
+            name.encode() * 2,
+            name.encode(),
+            ",".join(f"{k}={v}" for k, v in options_by_name.items()).encode(),
+        ]
         if cls == "lobby-read":
-            return resp.encode_command([b"SVC.QUERY", *words])
-        return resp.encode_command([b"SVC.SUBMIT", *words, b"the body\r\n\0"])
+            return resp.encode_command([b"SVC.QUERY", *arguments])
+        return resp.encode_command([b"SVC.SUBMIT", *arguments, b"the body\r\n\0"])
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Open a client connection to the agent."""
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The agent in service on loopback: what crossed the sockets is judged, never how long it took."""
+"""The production agent on loopback: checks what crossed the sockets, not how long it took."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     return [(e.status, e.load) for e in rig.seen(it.Outcome)]
 
 
-def test_a_calm_stretch_passes_on_what_each_request_was_answered() -> None:
+def test_requests_of_each_class_are_forwarded_and_answered() -> None:
     async def work() -> None:
         async with Rig() as rig:
             assert await rig.exchange(b"*1\r\n$4\r\nPING\r\n") == b"+PONG"
             first = [type(e) for e in rig.events[:3]]
-            assert first == [it.Started, it.StageNews, it.ServerList], "before the first PONG"
+            assert first == [it.Started, it.StageNews, it.ServerList], "events before the first PONG"
             for cls in ("lobby-read", "queue-join", "race-entry"):
                 assert await rig.exchange(rig.encode_request(cls, id=f"id-{cls}")) == b"for id-" + cls.encode()
-            got = {words[2]: words for one in rig.appliances for words in one.got}
+            got = {arguments[2]: arguments for one in rig.appliances for arguments in one.got}
             assert got[b"id-queue-join"][1::3] == [b"id-queue-join" * 2, b"the body\r\n\0"]
             options = got[b"id-race-entry"][3].split(b",")
             assert options[:2] == [b"c=race-entry", b"t=first"] and 0 < int(options[2][2:]) <= 2000
@@ -43,7 +43,7 @@
     async def work() -> None:
         async with Rig(count=1) as rig:
             held: list[tuple[asyncio.StreamWriter, bytes]] = []
-            rig.appliances[0].behave = lambda one, writer, words: held.append((writer, words[2]))
+            rig.appliances[0].behave = lambda one, writer, arguments: held.append((writer, arguments[2]))
             reader, writer = await rig.connect()
             writer.write(rig.encode_request(id="a") + rig.encode_request(id="b") + b"*1\r\n$4\r\nPING\r\n")
             await rig.until(lambda: len(held) == 2)
@@ -54,7 +54,7 @@
     run(work)
 
 
-BAD = {
+MALFORMED_INPUT = {
     "noise": b"\x00\xffnoise\r\n",
     "an endless line": b"*" + b"1" * 5000,
     "a negative length": b"*1\r\n$-7\r\n",
@@ -65,12 +65,12 @@
 }
 
 
-@pytest.mark.parametrize("bad", BAD)
-def test_a_client_that_cannot_be_read_gets_an_error_or_a_close_and_disturbs_nobody(bad: str) -> None:
+@pytest.mark.parametrize("malformed", MALFORMED_INPUT)
+def test_malformed_input_gets_an_error_or_a_close_and_affects_no_other_client(malformed: str) -> None:
     async def work() -> None:
         async with Rig() as rig:
-            told = await rig.exchange(BAD[bad])
-            assert told == b"" or told.startswith(b"-ERR ")
+            received = await rig.exchange(MALFORMED_INPUT[malformed])
+            assert received == b"" or received.startswith(b"-ERR ")
             assert (
                 await rig.exchange(rig.encode_request(id="x")) == b"for x"
                 and sum(len(a.got) for a in rig.appliances) == 1
@@ -94,7 +94,7 @@
         {"c": "lobby-read,c=lobby-read"},
     ],
 )
-def test_a_request_that_cannot_be_is_an_error_and_is_never_sent(options: dict[str, Any]) -> None:
+def test_an_invalid_request_is_an_error_and_is_never_sent(options: dict[str, Any]) -> None:
     async def work() -> None:
         async with Rig() as rig:
             reader, writer = await rig.connect()
@@ -115,14 +115,15 @@
             assert (await rig.exchange(rig.encode_request(id="same"))).startswith(b"-ERR id")
             writer.close()
             await rig.until(lambda: rig.seen(it.Abandoned))
-            rig.appliances[0].behave = lambda one, w, words: w.write(served(b"again"))
-            await rig.exchange(rig.encode_request(id="same"))  # whatever the module makes of it, it is taken
+            rig.appliances[0].behave = lambda one, w, arguments: w.write(served(b"again"))
+            # accepted again, whatever the decision module answers
+            await rig.exchange(rig.encode_request(id="same"))
             assert len(rig.seen(it.Request)) == 2
 
     run(work)
 
 
-def test_a_flood_on_one_connection_is_not_taken_and_what_was_open_there_ends() -> None:
+def test_a_flood_on_one_connection_is_rejected_and_its_open_requests_fail() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
             rig.appliances[0].behave = never_answer
@@ -140,7 +141,7 @@
     run(work)
 
 
-def test_a_crowd_that_says_nothing_leaves_places_and_ends() -> None:
+def test_a_crowd_of_silent_clients_leaves_room_and_is_closed() -> None:
     async def work() -> None:
         async with Rig(sockets=100) as rig:
             working, writer = await rig.connect()
@@ -182,23 +183,23 @@
                 one.behave = answer_bytes(served(b"x" * 60_000))
             writer.write(rig.encode_request())
             await rig.until(lambda: rig.node.front.clients)
-            most = 0
+            max_unsent = 0
             client = next(iter(rig.node.front.clients))
             for _ in range(20000):
                 if client not in rig.node.front.clients:
                     break
                 if not writer.transport.is_closing() and client.transport.is_reading():
                     writer.write(rig.encode_request())
-                most = max(most, client.transport.get_write_buffer_size())
+                max_unsent = max(max_unsent, client.transport.get_write_buffer_size())
                 await asyncio.sleep(0.002)
-            assert client not in rig.node.front.clients and MAX_UNSENT_BYTES < most < 8 * MAX_UNSENT_BYTES
-            assert await rig.exchange(rig.encode_request()) == b"x" * 60_000, "nobody else is disturbed"
+            assert client not in rig.node.front.clients and MAX_UNSENT_BYTES < max_unsent < 8 * MAX_UNSENT_BYTES
+            assert await rig.exchange(rig.encode_request()) == b"x" * 60_000, "other clients are unaffected"
 
     run(work)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"noise\r\n",
         b"*3\r\n$3000000000\r\nxxxx",
@@ -209,22 +210,22 @@
         b"-" + b"E" * 5000,
     ],
 )
-def test_a_spoilt_answer_may_have_run_and_ends_its_connection(spoilt: bytes) -> None:
+def test_a_malformed_answer_may_have_run_and_closes_its_connection(malformed: bytes) -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = answer_bytes(spoilt)
+            rig.appliances[0].behave = answer_bytes(malformed)
             assert await rig.exchange(rig.encode_request("race-entry")) == b"-ERR failed", (
-                "it is not sent twice, nor refused"
+                "neither sent twice nor refused"
             )
             assert values(rig) == [(it.Status.ERROR, ())] and len(rig.appliances[0].got) == 1
-            if spoilt != b"+OK\r\n":
+            if malformed != b"+OK\r\n":
                 await rig.until(lambda: not rig.appliances[0].writers)
 
     run(work)
 
 
 @pytest.mark.parametrize(
-    ("ends", "status", "told"),
+    ("behave", "status", "expected"),
     [
         (answer_bytes(b"-BUSY\r\n"), it.Status.FULL, b"-BUSY"),
         (answer_bytes(b"-ERR failed pending=4\r\n"), it.Status.ERROR, b"-ERR failed"),
@@ -232,13 +233,15 @@
         (never_answer, it.Status.TIMEOUT, b"-ERR failed"),
     ],
 )
-def test_how_an_attempt_that_is_not_served_ends(ends: Any, status: it.Status, told: bytes) -> None:
+def test_how_an_attempt_that_is_not_served_ends(behave: Any, status: it.Status, expected: bytes) -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = ends
-            assert await rig.exchange(rig.encode_request("race-entry", d=400)) == told
+            rig.appliances[0].behave = behave
+            assert await rig.exchange(rig.encode_request("race-entry", d=400)) == expected
             assert {s for s, _ in values(rig)} == {status}
-            assert len(rig.appliances[0].got) == 1 or status is it.Status.FULL, "only what never ran goes again"
+            assert len(rig.appliances[0].got) == 1 or status is it.Status.FULL, (
+                "only an attempt that never ran is repeated"
+            )
 
     run(work)
 
@@ -248,16 +251,16 @@
     async def work() -> None:
         async with Rig(count=1) as rig:
 
-            def behave(one: Any, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
-                writer.write(served(b"for " + words[2]))
-                if words[2] == b"first":
+            def behave(one: Any, writer: asyncio.StreamWriter, arguments: list[bytes]) -> None:
+                writer.write(served(b"for " + arguments[2]))
+                if arguments[2] == b"first":
                     asyncio.get_running_loop().call_soon(writer.write, surplus)
 
             rig.appliances[0].behave = behave
             reader, writer = await rig.connect()
             writer.write(rig.encode_request(id="first"))
             assert await answer(reader) == b"for first"
-            writer.write(rig.encode_request(id="second"))  # at once: the surplus may not have been read yet
+            writer.write(rig.encode_request(id="second"))  # immediately: the surplus may not have been read yet
             assert await answer(reader) == b"for second"
 
     run(work)
@@ -266,7 +269,7 @@
 def test_an_unreadable_report_costs_only_the_report() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            rig.appliances[0].behave = lambda one, w, words: w.write(served(b"v", b"$4\r\n\xff=?1\r\n"))
+            rig.appliances[0].behave = lambda one, w, arguments: w.write(served(b"v", b"$4\r\n\xff=?1\r\n"))
             assert await rig.exchange(rig.encode_request()) == b"v" and values(rig) == [(it.Status.OK, ())]
 
     run(work)
@@ -277,17 +280,19 @@
         async with Rig(count=1) as rig:
             ended: list[Any] = []
             one = rig.appliances[0]
-            one.server.close()  # accepts nothing more; this one never reads
-            deaf = await asyncio.start_server(lambda r, w: held.append(w), "127.0.0.1", 0, limit=1)
+            one.server.close()  # no more connections here; the listener below never reads
+            listener = await asyncio.start_server(lambda r, w: held.append(w), "127.0.0.1", 0, limit=1)
             held: list[asyncio.StreamWriter] = []
-            at = "{}:{}".format(*deaf.sockets[0].getsockname())
+            address = "{}:{}".format(*listener.sockets[0].getsockname())
             until = asyncio.get_running_loop().time() + 0.5
-            rig.node.pool.call(at, b"t", lambda: b"x" * 50_000_000, until, lambda call, end, _: ended.append(end))
+            rig.node.pool.call(
+                address, b"t", lambda: b"x" * 50_000_000, until, lambda call, end, _: ended.append(end)
+            )
             await rig.until(lambda: held)
             held[0].transport.pause_reading()  # type: ignore[attr-defined]
             await rig.until(lambda: ended)
             assert ended == [End.OVERDUE_CONNECTING]
-            deaf.close()
+            listener.close()
 
     run(work)
 
@@ -303,7 +308,7 @@
             idle = len(rig.appliances[0].writers)
             assert idle
             rig.discovery.set("s-0", version_no=2, startedAtMs=rig.wall() * 1e3 - 100)
-            await rig.until(lambda: not rig.appliances[0].writers)  # connections to what ran before are void
+            await rig.until(lambda: not rig.appliances[0].writers)  # connections to the previous process are closed
             server = rig.node._agent.servers[server_number("s-0")]
             assert server.entry.build == 2 and 0 < server.started <= asyncio.get_running_loop().time() * 1e3
             assert rig.node.list.entries[server_number("s-0")].build == 2
@@ -311,7 +316,7 @@
     run(work)
 
 
-def test_news_of_a_trial_binds_the_next_send_and_the_vote_back_is_news_too() -> None:
+def test_stage_news_limits_the_next_send_and_so_does_the_answer_to_a_vote() -> None:
     async def work() -> None:
         async with Rig(count=2) as rig:
             rig.discovery.set("s-1", version_no=2)
@@ -333,7 +338,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "status"),
+    ("answer_line", "status"),
     [
         (b"ERR Throttling\r\n", it.Status.FULL),
         (b"ERR ConditionFailed\r\n", it.Status.MOOT),
@@ -344,12 +349,12 @@
     ],
 )
 def test_a_vote_without_a_readable_answer_may_count_and_its_connection_is_done(
-    said: bytes | None, status: it.Status
+    answer_line: bytes | None, status: it.Status
 ) -> None:
     async def work() -> None:
         async with Rig() as rig:
             opened = rig.desk.opened
-            rig.desk.answer = lambda _: said
+            rig.desk.answer = lambda _: answer_line
             rig.node._act(it.CastVote(1, 0, it.Verdict.BACK))
             await rig.until(lambda: [n for n in rig.seen(it.StageNews) if n.answers_vote])
             assert [n.status for n in rig.seen(it.StageNews) if n.answers_vote] == [status]
@@ -360,7 +365,7 @@
     run(work)
 
 
-def test_noise_from_platform_and_discovery_ends_the_connection_and_keeps_what_was_held() -> None:
+def test_malformed_feeds_are_reconnected_and_the_last_state_is_kept() -> None:
     async def work() -> None:
         async with Rig() as rig:
             desks, lists = rig.desk.opened, rig.discovery.opened
@@ -369,7 +374,7 @@
             rig.discovery.set("s-0")
             await rig.until(lambda: rig.desk.opened > desks and rig.discovery.opened > lists + 1)
             assert await rig.exchange(rig.encode_request(id="z")) == b"for z" and len(rig.node.list.entries) == 2
-            await rig.until(lambda: rig.discovery.asked[-2:][0] == "/api/targets")  # the whole list again
+            await rig.until(lambda: rig.discovery.asked[-2:][0] == "/api/targets")  # requests the whole list again
 
     run(work)
 
@@ -381,7 +386,7 @@
             await rig.until(lambda: set(rig.node.list.entries) == {server_number("s-0")})
             await rig.until(lambda: not rig.desk.writers and other.discovery.asked.count("/api/targets") == 2)
             assert await rig.exchange(rig.encode_request(id="m")) == b"for m" and other.appliances[0].got
-            for bad in (
+            for invalid in (
                 {"pipeline": {"address": "nowhere"}},
                 {"settings": {}},
                 {"limits": {"sockets": 1}},
@@ -390,18 +395,18 @@
                 {"known": None},
             ):
                 with pytest.raises(ConfigError):
-                    rig.config(**{**bad, **({"listen": "x"} if bad == {"known": None} else {})})
+                    rig.config(**{**invalid, **({"listen": "x"} if invalid == {"known": None} else {})})
         with pytest.raises(ConfigError):
             read_config(b"{")
 
     run(work)
 
 
-def test_a_planned_end_answers_all_that_is_held_and_what_still_comes_for_a_moment() -> None:
+def test_a_graceful_shutdown_answers_open_requests_and_those_that_arrive_shortly_after() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
             held: list[Any] = []
-            rig.appliances[0].behave = lambda one, writer, words: held.append((writer, words[2]))
+            rig.appliances[0].behave = lambda one, writer, arguments: held.append((writer, arguments[2]))
             reader, writer = await rig.connect()
             writer.write(rig.encode_request(id="before"))
             await rig.until(lambda: held)
@@ -421,33 +426,35 @@
     run(work)
 
 
-def test_only_peers_are_heard_and_no_word_is_over_its_bound() -> None:
+def test_the_peer_socket_drops_unknown_senders_and_oversized_messages() -> None:
     async def work() -> None:
         from otterquay.lab.ports import claim_ports
         from otterquay.logs import silent
         from otterquay.node.peers import PeerSocket
 
-        heard: list[tuple[int, bytes]] = []
-        at = [f"127.0.0.1:{port}" for port in claim_ports(3).ports]
+        received: list[tuple[int, bytes]] = []
+        addresses = [f"127.0.0.1:{port}" for port in claim_ports(3).ports]
         sockets = [
-            PeerSocket(at[i], i, at[:2], None, lambda n, d: heard.append((n, d)), silent()) for i in range(2)
+            PeerSocket(addresses[i], i, addresses[:2], None, lambda n, d: received.append((n, d)), silent())
+            for i in range(2)
         ]
-        sockets.append(PeerSocket(at[2], 5, at, None, lambda n, d: None, silent()))  # unknown to the others
+        # the third socket is not a peer of the others
+        sockets.append(PeerSocket(addresses[2], 5, addresses, None, lambda n, d: None, silent()))
         for one in sockets:
             await one.start()
         sockets[2].tell(1, b"forged")
         sockets[0].tell(1, b"x" * 257)
         sockets[0].tell(None, b"x" * 256)
-        while not heard:
+        while not received:
             await asyncio.sleep(0.005)
-        assert heard == [(0, b"x" * 256)]
+        assert received == [(0, b"x" * 256)]
         for one in sockets:
             one.close()
 
     run(work)
 
 
-def test_the_agent_in_service_brings_nothing_of_the_rest() -> None:
+def test_the_production_agent_imports_no_heavy_packages() -> None:
     import subprocess
     import sys
 
@@ -460,7 +467,7 @@
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-def test_names_and_bounds_of_the_front_are_the_settings_and_refusals_follow_them() -> None:
+def test_names_and_limits_of_the_front_come_from_the_settings() -> None:
     async def work() -> None:
         limits = {"sendCap": 1, "maxOpen": 1, "keepaliveMs": 9000.0}
         async with Rig(count=1, limits=limits) as rig:
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -72,7 +72,7 @@
     assert parser.failed and parser.failed.status == status
 
 
-def test_what_was_whole_before_the_garbage_stays_whole() -> None:
+def test_requests_before_malformed_bytes_remain_valid() -> None:
     parser = RequestParser()
     found = parser.feed(write_request(b"GET", b"/a", []) + b"garbage\r\n\r\n")
     assert [r.target for r in found] == [b"/a"] and parser.failed and parser.failed.status == 400
@@ -147,7 +147,7 @@
         b"TEXT cpu_utilization=-1,named_metrics.queue=1",
     ],
 )
-def test_a_load_report_that_is_none(header: bytes) -> None:
+def test_a_malformed_load_report_is_empty(header: bytes) -> None:
     assert orca.parse(header, (LoadField.UTIL, LoadField.QUEUE)) == ()
 
 
@@ -158,32 +158,32 @@
 
 def carry(links: dict[int, PeerLink], transmits: list[Transmit]) -> tuple[list[bytes], list[Transmit]]:
     """Deliver all datagrams and the replies to them; returns the messages received and all datagrams sent."""
-    heard, crossed, waiting = list[bytes](), list[Transmit](), list(transmits)
+    received, transmitted, waiting = list[bytes](), list[Transmit](), list(transmits)
     while waiting:
         one = waiting.pop(0)
-        crossed.append(one)
+        transmitted.append(one)
         for found in links[one.to].receive(one.datagram):
             if isinstance(found, Deliver):
-                heard.append(found.data)
+                received.append(found.data)
             else:
                 waiting.append(found)
-    return heard, crossed
+    return received, transmitted
 
 
-def test_words_arrive_once_after_a_hello() -> None:
+def test_a_message_arrives_once_after_a_hello() -> None:
     a, b = pair()
     links = {0: a, 1: b}
-    heard, crossed = carry(links, a.tell(1, b"one"))
-    assert heard == [b"one"] and len(crossed) == 3
-    heard, crossed = carry(links, a.tell(None, b"two"))
-    assert heard == [b"two"] and len(crossed) == 1
+    received, transmitted = carry(links, a.tell(1, b"one"))
+    assert received == [b"one"] and len(transmitted) == 3
+    received, transmitted = carry(links, a.tell(None, b"two"))
+    assert received == [b"two"] and len(transmitted) == 1
 
 
-def test_no_recording_is_taken_again_not_even_after_a_restart() -> None:
+def test_replayed_datagrams_are_rejected_even_after_a_restart() -> None:
     a, b = pair()
     links = {0: a, 1: b}
-    _, crossed = carry(links, a.tell(1, b"one"))
-    recorded = crossed + a.tell(1, b"two")
+    _, transmitted = carry(links, a.tell(1, b"one"))
+    recorded = transmitted + a.tell(1, b"two")
     assert carry(links, recorded[-1:])[0] == [b"two"]
     for one in recorded:
         if one.to == 1:
@@ -198,7 +198,7 @@
             assert not any(isinstance(f, Deliver) for f in fresh.receive(one.datagram))
 
 
-def test_a_restart_of_either_side_is_got_over() -> None:
+def test_messages_arrive_again_after_a_restart_of_either_side() -> None:
     a, b = pair()
     links = {0: a, 1: b}
     carry(links, a.tell(1, b"one"))
@@ -214,8 +214,8 @@
     carry({0: a, 1: b}, a.tell(1, b"x"))
     sent = [a.tell(1, bytes([i]))[0] for i in range(40)]
     random.Random(6).shuffle(sent)
-    heard = [b.receive(one.datagram)[0] for one in sent]
-    assert sorted(h.data for h in heard if isinstance(h, Deliver)) == [bytes([i]) for i in range(40)]
+    received = [b.receive(one.datagram)[0] for one in sent]
+    assert sorted(h.data for h in received if isinstance(h, Deliver)) == [bytes([i]) for i in range(40)]
     for one in sent:
         with pytest.raises(PeerRefused, match="duplicate or too old"):
             b.receive(one.datagram)
@@ -250,9 +250,9 @@
     for i in range(MAX_PENDING_MESSAGES + 3):
         sent = a.tell(1, bytes([i]))
     assert a.dropped == 3
-    heard, crossed = carry({0: a, 1: b}, sent)
-    assert heard == [bytes([i]) for i in range(3, MAX_PENDING_MESSAGES + 3)]
+    received, transmitted = carry({0: a, 1: b}, sent)
+    assert received == [bytes([i]) for i in range(3, MAX_PENDING_MESSAGES + 3)]
     carry({0: a, 1: b}, a.tell(1, bytes(MAX_MESSAGE_BYTES)))
-    body = crossed[0].datagram[:-16] + bytes(MAX_DATAGRAM_BYTES)
+    body = transmitted[0].datagram[:-16] + bytes(MAX_DATAGRAM_BYTES)
     with pytest.raises(PeerRefused, match="not a valid datagram size"):
         b.receive(body + blake3(body, key=KEY).digest(length=16))
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -43,9 +43,9 @@
 
 
 def test_commands_byte_by_byte_and_the_largest_body() -> None:
-    for words in COMMANDS[:3]:
-        data = resp.encode_command(words)
-        assert in_pieces(resp.CommandParser(), data, list(range(1, len(data)))) == [words]
+    for arguments in COMMANDS[:3]:
+        data = resp.encode_command(arguments)
+        assert in_pieces(resp.CommandParser(), data, list(range(1, len(data)))) == [arguments]
     assert resp.CommandParser().feed(resp.encode_command(COMMANDS[3])) == [COMMANDS[3]]
 
 
@@ -78,7 +78,7 @@
         "*1\r\n$²\r\n".encode(),
     ],
 )
-def test_what_is_no_command_fails_before_more_is_kept(data: bytes) -> None:
+def test_a_malformed_command_fails_before_more_is_buffered(data: bytes) -> None:
     parser = resp.CommandParser()
     assert parser.feed(resp.encode_command([b"PING"]) + data) == [[b"PING"]]
     assert parser.failed and len(parser._buffer) == 0 and parser.feed(b"x" * 100) == []
@@ -101,7 +101,7 @@
         b"*99999999999999999999999\r\n",
     ],
 )
-def test_a_spoilt_answer_is_none(data: bytes) -> None:
+def test_a_malformed_answer_is_rejected(data: bytes) -> None:
     parser = resp.AnswerParser()
     assert not parser.feed(data) and parser.failed and parser.eof() is None
 
@@ -117,7 +117,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_do_more_than_fail(data: bytes) -> None:
+def test_arbitrary_bytes_only_set_failed(data: bytes) -> None:
     for parser in (resp.CommandParser(), resp.AnswerParser()):
         parser.feed(data)
         assert parser.failed is None or not parser.has_unread
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "said"),
+    ("line", "expected"),
     [
         (b"*", platform.Notification(None)),
         (b"* progress 42 1 testing 0.28 310", platform.Notification(STATE)),
@@ -157,8 +157,8 @@
         (b"ERR InternalFailure", platform.CallAnswer(it.Status.ERROR, None)),
     ],
 )
-def test_platform_lines(line: bytes, said: object) -> None:
-    assert platform.parse_line(line, 2) == said
+def test_platform_lines(line: bytes, expected: object) -> None:
+    assert platform.parse_line(line, 2) == expected
 
 
 @pytest.mark.parametrize(
@@ -180,36 +180,36 @@
         b"OK 42.5 1 testing 0.28 1",
     ],
 )
-def test_platform_noise(line: bytes) -> None:
+def test_malformed_platform_lines(line: bytes) -> None:
     with pytest.raises(platform.MalformedLine):
         platform.parse_line(line, 2)
 
 
 @given(st.binary(max_size=120))
-def test_any_line_is_read_or_noise(line: bytes) -> None:
+def test_any_line_is_parsed_or_malformed(line: bytes) -> None:
     try:
         platform.parse_line(line, 4)
     except platform.MalformedLine as error:
         assert str(error) is not None
 
 
-def one(**fields: object) -> bytes:
+def list_with_entry(**fields: object) -> bytes:
     entry = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": "in_service", **fields}
     return msgspec.json.encode({"generation": 3, "reset": True, "instances": [entry]})
 
 
 def test_a_server_has_the_same_number_everywhere_and_its_age_from_the_wall_clock() -> None:
     reader = targets.TargetReader(["m1", "m2"])
-    whole, fleet, refused = reader.read(one(startedAtMs=5000, machineType="m2", version_no=7), 6500.0)
+    whole, fleet, refused = reader.read(list_with_entry(startedAtMs=5000, machineType="m2", version_no=7), 6500.0)
     entry = fleet.entries[0]
     assert whole and not refused and (entry.age_ms, entry.kind, entry.build) == (1500.0, 1, 7)
-    other = targets.TargetReader([]).read(one(startedAtMs=5000, version_no=8), 9.0)[1].entries[0]
+    other = targets.TargetReader([]).read(list_with_entry(startedAtMs=5000, version_no=8), 9.0)[1].entries[0]
     assert other.server == entry.server == targets.server_number("s-1") and other.incarnation != entry.incarnation
-    assert reader.read(one(), 6500.0)[1].entries[0].age_ms is None
+    assert reader.read(list_with_entry(), 6500.0)[1].entries[0].age_ms is None
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "invalid",
     [
         {"hostPort": "host:1"},
         {"hostPort": ""},
@@ -221,8 +221,8 @@
         {"cell": 1.5},
     ],
 )
-def test_an_entry_that_cannot_be_read_is_left_out_with_a_reason(odd: dict[str, object]) -> None:
-    _, fleet, refused = targets.TargetReader([]).read(one(**odd), 0.0)
+def test_an_entry_that_cannot_be_read_is_left_out_with_a_reason(invalid: dict[str, object]) -> None:
+    _, fleet, refused = targets.TargetReader([]).read(list_with_entry(**invalid), 0.0)
     assert not fleet.entries and len(refused) == 1
 
 
