--- a/otterquay/node/agent.py
+++ b/otterquay/node/agent.py
@@ -30,7 +30,7 @@
 # A surplus answer can arrive up to 3 ms after the first one (bench scenario join+mass), on a clock of whole ms.
 MIN_REUSE_IDLE_S = 0.01
 # Fields that may differ on reload: the first two are applied, the others are read only at the start.
-RELOADED_FIELDS = ("discovery", "platform", "news", "known", "seed")
+RELOAD_ALLOWED_FIELDS = ("discovery", "platform", "news", "known", "seed")
 # The protocol allows a graceful shutdown the longest class deadline, capped at 3 s, plus 0.7 s. LINGER_S covers the
 # 0.4 s for which new connections keep arriving, FLUSH_S the sending of the last answers; the rest is for closing.
 MAX_DEADLINE_S = 3.0
@@ -92,11 +92,11 @@
             yield known
 
     def reload(self, config: NodeConfig) -> None:
-        """Switch discovery and platform to new addresses; other changed fields are logged as ignored."""
+        """Switch discovery and platform to new addresses; changes of fixed fields are logged and ignored."""
         fixed = [
             f.name
             for f in fields(config)
-            if f.name not in RELOADED_FIELDS and getattr(config, f.name) != getattr(self._config, f.name)
+            if f.name not in RELOAD_ALLOWED_FIELDS and getattr(config, f.name) != getattr(self._config, f.name)
         ]
         if fixed:
             self.log.warning("reload_fields_ignored", fields=", ".join(fixed))
