--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -117,9 +117,9 @@
             for cls in range(2):
                 for _ in range(2):
                     failed, latency = self.rng.random() < 0.02, self.rng.uniform(50, 150)
-                    self.agent._see(server, cls, math.nan if failed else latency, 1)
-        self.agent._book(self.agent.fresh, 2, 8, 20.0, 1.0)
-        self.agent._book(self.agent.fresh, 1, 8, 20.0, 1.0)
+                    self.agent._record_outcome(server, cls, math.nan if failed else latency, 1)
+        self.agent._add_evidence(self.agent.own_row, 2, 8, 20.0, 1.0)
+        self.agent._add_evidence(self.agent.own_row, 1, 8, 20.0, 1.0)
 
     def bin(self) -> None:
         """A bin full of evidence and its verdict."""
@@ -128,7 +128,7 @@
 
     def verdict(self) -> None:
         """The bin closes while a build is judged."""
-        self.now = max(self.now, self.agent.next_bin)
+        self.now = max(self.now, self.agent.next_bin_at)
         self.give(it.TimerFired(0))
 
     def request(self) -> None:
@@ -161,11 +161,11 @@
         """A request for which every server has as much open as it may: all are asked."""
         self.now += 1.0
         for server in self.agent.servers.values():
-            server.limit = 0.0
+            server.concurrency_limit = 0.0
         self.ids += 1
         self.give(it.Request(self.ids, 0, 0, 0, 2000.0, 0.0, False, False, False))
         for server in self.agent.servers.values():
-            server.limit = 6.0
+            server.concurrency_limit = 6.0
 
 
 WHAT = ("verdict", "request", "tally", "change", "refusal")
--- a/otterquay/policy/breaker.py
+++ b/otterquay/policy/breaker.py
@@ -17,14 +17,14 @@
 class Breaker(Evidence):  # says why, or nothing
     def _breaker(self, trial: list[Server], earlier: list[Server], own: float) -> str:  # DESIGN, but surer
         mates = [s for s in self.servers.values() if s.entry.build == self.news.build]
-        known, total = [s.errors for s in mates if s.seen] or [0], self._totals("own", POOL_BINS)[0][-1][1]
+        known, total = [s.errors for s in mates if s.outcomes] or [0], self._totals("own", POOL_BINS)[0][-1][1]
         hit = sum(x > 0 for x in known)  # failing machines are no failing build, which would hit most alike
         most = hit >= max(2, SPREAD * len(known) * (1 - (1 - 1 / len(known)) ** sum(known)))
         self.shared = len(mates) == 1 or 2 * sum(known) < total or most  # what peers saw, was elsewhere
         for name, span in self.pools:
             rows, (*_, n1, s1, s0) = self._totals(name, span)
             # of many that judge on evidence of their own, one errs by chance
-            many = max(self.s.agents, 1) if name == "own" and self.s.me not in self.judges else 1
+            many = max(self.settings.agents, 1) if name == "own" and self.settings.me not in self.evaluators else 1
             for cls, (n, x, old_n, old_x) in enumerate(rows):
                 if old_n >= LEVEL_LEAST:  # DESIGN: lacking earlier servers, the last baseline stays
                     self.before[name, span, cls] = (old_x + 0.5) / (old_n + 1)
@@ -40,13 +40,13 @@
                     return f"errors {name} class {cls}: {x:.0f} of {n:.0f}, usual {usual:.3f}"
             if self.news.phase is it.Phase.TRIAL and trial and earlier and n1 >= LEVEL_LEAST:
                 m1, m0 = s1 / n1, 2 * max(s0 / n1, 0.0)  # idle ones are no measure
-                warm = sum(self._age(s) > self.s.rules.cold_ms + 2 * BIN_MS for s in trial)
+                warm = sum(self._age(s) > self.settings.rules.cold_ms + 2 * BIN_MS for s in trial)
                 noise = math.sqrt(2 * NOISE / n1 + SERVER_NOISE / max(warm, 1))
                 if m1 - m0 - math.sqrt(SIGMAS**2 + 2 * math.log(many)) * noise > LEVEL_BACK:
                     return f"level {name}: {math.exp(m1 - s0 / n1):.2f} times earlier, {n1:.0f} each"
         late = [
             c
-            for c, cls in enumerate(self.s.classes if own >= 2 * self.n else ())
+            for c, cls in enumerate(self.settings.classes if own >= 2 * self.class_count else ())
             if self._middle(trial, c) > cls.aim_ms >= self._middle(earlier, c) > 0
         ]
         self.late_bins = self.late_bins + 1 if late and self.news.phase is it.Phase.TRIAL else 0
--- a/otterquay/policy/votes.py
+++ b/otterquay/policy/votes.py
@@ -19,18 +19,18 @@
         if self.tripped:
             self._vote(it.Verdict.BACK, self.tripped)
         elif self.news.phase is it.Phase.TRIAL:
-            mean, enough = fmean(self.points or [0.0]), self._enough(trial, earlier)
+            mean, enough = fmean(self.points or [0.0]), self._enough_evidence(trial, earlier)
             sure = enough and settled(list(self.points))
-            if sure and (mean >= PASS_MEAN or self.roll.control is not it.Control.ANY):  # DESIGN
+            if sure and (mean >= PASS_MEAN or self.rollout.control is not it.Control.ANY):  # DESIGN
                 self._vote(it.Verdict.ON if mean >= PASS_MEAN else it.Verdict.BACK, f"mean {mean:.2f}")
             elif not enough and self.last_vote == (self.news.build, self.news.stage, it.Verdict.ON):
                 self._vote(it.Verdict.NONE, "a change of mind")
 
-    def _enough(self, trial: list[Server], earlier: list[Server]) -> bool:  # would failure have shown?
+    def _enough_evidence(self, trial: list[Server], earlier: list[Server]) -> bool:  # would failure have shown?
         pools = [self._totals(name, POOL_BINS) for name in ("own", "tally")]
-        places = len(earlier) + len(trial) * (self.roll.replacement is it.Replacement.IN_PLACE)
-        unseen = len(trial) < SEEN_PART * self.roll.stage_share[self.news.stage] * places
-        works = [c for c, (n, got) in enumerate(self.tried[: self.n]) if got >= (1 - JAM) * n]
+        places = len(earlier) + len(trial) * (self.rollout.replacement is it.Replacement.IN_PLACE)
+        unseen = len(trial) < SEEN_PART * self.rollout.stage_share[self.news.stage] * places
+        works = [c for c, (n, got) in enumerate(self.sent_and_useful[: self.class_count]) if got >= (1 - JAM) * n]
         jam = not works or min(old_x / max(old_n, 1) for _, _, old_n, old_x in pools[1][0]) > JAM
         failing = self.shared and any(
             x > max(1.5, 2 * ERROR_MARGIN * n, 2 * old_x / max(old_n, 1) * n)
@@ -46,12 +46,12 @@
 
     def _vote(self, verdict: it.Verdict, why: str) -> None:  # DESIGN: one draw each vote life
         vote = self.news.build, self.news.stage, verdict
-        stands = self.last_vote == vote and self.now - self.vote_at < self.roll.vote_life_ms
-        if stands or (verdict is it.Verdict.ON and self.roll.control is it.Control.TIMER):
+        stands = self.last_vote == vote and self.now - self.vote_at < self.rollout.vote_life_ms
+        if stands or (verdict is it.Verdict.ON and self.rollout.control is it.Control.TIMER):
             return
         self.last_vote, self.vote_at = vote, self.now
         # where judges alone vote on, a draw over all agents leaves a good build without a vote for long
-        voters = len(self.judges) if self.s.me in self.judges else self.s.agents
-        if self.rng.random() * 2000 * voters < self.roll.calls_per_s * self.roll.vote_life_ms:
+        voters = len(self.evaluators) if self.settings.me in self.evaluators else self.settings.agents
+        if self.rng.random() * 2000 * voters < self.rollout.calls_per_s * self.rollout.vote_life_ms:
             self.out.append(it.CastVote(*vote))
             self.out.append(it.Log(f"build {vote[0]} stage {vote[1]}: vote {verdict.name} on {why}"))
--- a/tests/crossings/test_drain.py
+++ b/tests/crossings/test_drain.py
@@ -90,7 +90,7 @@
             assert rig.node.counts["failed"] == 3 and len(rig.seen(it.Abandoned)) == 3
             assert {e.status for e in rig.seen(it.Outcome)} == {it.Status.CANCELLED}
             assert sum(len(one.got) for one in rig.appliances) == 3, "closing begins no attempt"
-            assert not rig.node._agent.jobs, "nor does the module hold them"
+            assert not rig.node._agent.pending_requests, "nor does the module hold them"
 
     run(work)
 
--- a/tests/crossings/test_drawn.py
+++ b/tests/crossings/test_drawn.py
@@ -281,7 +281,7 @@
 
 def never_shut(monkeypatch: pytest.MonkeyPatch) -> None:
     """The module knows no cap."""
-    monkeypatch.setattr(Agent, "_shut", lambda *_: False)
+    monkeypatch.setattr(Agent, "_cap_reached", lambda *_: False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -603,17 +603,19 @@
             await rig.until(lambda: rig.runtime._desk.capped(2) and not rig.runtime._desk.capped(1))
             for _ in range(40):
                 await rig.get()
-            tries = {k: len(v) for k, v in rig.runtime._agent.tries.items() if k[0] == 2}
+            tries = {k: len(v) for k, v in rig.runtime._agent.attempt_times.items() if k[0] == 2}
             assert sum(tries.values()) > 3
             rig.runtime.close()
             await asyncio.sleep(0.05)
             rig.with_desk = False
             await rig.up(rig.list.listener.address, "127.0.0.1:9")
             restored = rig.runtime._agent
-            assert {k: len(v) for k, v in restored.tries.items()} == tries
-            assert restored._cap(1) is None and restored._cap(2) == restored.roll.stage_cap[0]
+            assert {k: len(v) for k, v in restored.attempt_times.items()} == tries
+            assert restored._cap(1) is None and restored._cap(2) == restored.rollout.stage_cap[0]
             assert {kind(await rig.get()) for _ in range(5)} == {"served"}
-            assert sum(len(v) for k, v in restored.tries.items() if k[0] == 2) == sum(tries.values()), "cap holds"
+            assert sum(len(v) for k, v in restored.attempt_times.items() if k[0] == 2) == sum(tries.values()), (
+                "cap holds"
+            )
 
             rig.runtime.close()  # beside it: one that begins with nothing spends what was spent again
             rig.disk = FaultDisk()
@@ -621,7 +623,9 @@
             for _ in range(20):
                 await rig.get()
             empty = rig.runtime._agent
-            assert empty._cap(1) is not None and sum(len(v) for k, v in empty.tries.items() if k[0] == 2) > 0
+            assert (
+                empty._cap(1) is not None and sum(len(v) for k, v in empty.attempt_times.items() if k[0] == 2) > 0
+            )
 
     run(work)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -226,6 +226,6 @@
     found = json.loads(text)
     assert code == 0 and found["served"] > 0 and found["violations"] == dict.fromkeys(RULES, 0)
     assert set(found["checked"]) == set(RULES) and not found["broken"]
-    monkeypatch.setattr(Agent, "_give_up", lambda self, job: self._over(job, 0.0))
+    monkeypatch.setattr(Agent, "_give_up", lambda self, job: self._finish(job, 0.0))
     code, text = call(*words)
     assert code == 1 and "no answer from agent" in text and json.loads(text.splitlines()[0])["broken"]
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -313,7 +313,7 @@
 def test_what_a_store_says_is_settled_is_served_and_does_not_end_the_wait_before_a_vote() -> None:
     drive = Drive()
     drive.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")))
-    assert drive.agent._cap(1) is None and drive.agent._cap(2) == drive.agent.roll.stage_cap[0]
+    assert drive.agent._cap(1) is None and drive.agent._cap(2) == drive.agent.rollout.stage_cap[0]
     drive.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
     assert drive.agent.settle > drive.now
     heard = Drive()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -11,21 +11,21 @@
 
 from otterquay import interface as it
 from otterquay.policy.agent import Agent
-from otterquay.policy.news import SETTLE_MS
-from otterquay.policy.state import OPEN_FIRST, Job
+from otterquay.policy.state import INITIAL_CONCURRENCY_LIMIT, PendingRequest
+from otterquay.policy.updates import SETTLE_MS
 
 
 def out_at(drive: Drive, cls: int) -> int:
     """How many attempts of a class one server holds when nothing is answered; of forty."""
     for _ in range(40):
         drive.ask(cls=cls)
-    return len(drive.agent.servers[1].open)
+    return len(drive.agent.servers[1].open_attempts)
 
 
 def test_a_server_holds_a_bounded_number_of_own_attempts_that_follows_its_answers() -> None:
     """Without it a slow or stalled machine takes all that is sent until its time-outs come."""
     drive = Drive(servers=1)
-    assert out_at(drive, 2) == math.ceil(OPEN_FIRST)
+    assert out_at(drive, 2) == math.ceil(INITIAL_CONCURRENCY_LIMIT)
     quick, tardy = Drive(servers=1), Drive(servers=1)
     for drive, latency in ((quick, 50.0), (tardy, 700.0)):
         for _ in range(20):
@@ -33,18 +33,22 @@
             for send in [s for _ in range(6) for s in sends(drive.ask(cls=2)[1])]:
                 drive.now += 10.0
                 drive.end(send, latency=latency)
-    assert tardy.agent.servers[1].limit < OPEN_FIRST < quick.agent.servers[1].limit
+    assert (
+        tardy.agent.servers[1].concurrency_limit
+        < INITIAL_CONCURRENCY_LIMIT
+        < quick.agent.servers[1].concurrency_limit
+    )
 
 
 def test_a_bound_of_one_grows_again_with_quick_answers() -> None:
     """The answered attempt was not counted, so a server once cut to one held one for good."""
     drive = Drive(servers=1)
-    drive.agent.servers[1].limit = 1.0
+    drive.agent.servers[1].concurrency_limit = 1.0
     for _ in range(10):
         drive.now += 200.0
         for send in sends(drive.ask(cls=2)[1]):
             drive.end(send, latency=50.0)
-    assert drive.agent.servers[1].limit > 1.0
+    assert drive.agent.servers[1].concurrency_limit > 1.0
 
 
 def test_the_least_worth_may_use_a_part_of_that_number_only() -> None:
@@ -55,10 +59,12 @@
     """Without it the traffic over a share, which is worth a twentieth, pushes out the rest."""
     tenants = (it.Tenant("a", 10.0, 0.5), it.Tenant("b", 10.0, 0.5))
     drive = Drive(settings(tenants=tenants, over_share_worth=0.05), servers=1)
-    drive.agent.by_tenant = [[drive.now] * 50, [drive.now] * 10]
+    drive.agent.tenant_request_times = [[drive.now] * 50, [drive.now] * 10]
     worth = [
         drive.agent._worth(
-            Job(it.Request(1, 2, t, 0, 2000.0, 0.0, False, False, False), drive.now, drive.agent.s.classes[2])
+            PendingRequest(
+                it.Request(1, 2, t, 0, 2000.0, 0.0, False, False, False), drive.now, drive.agent.settings.classes[2]
+            )
         )
         for t in (0, 1)
     ]
@@ -69,18 +75,18 @@
     """Without it a server that recovers is chosen only where nothing else fits."""
     drive = Drive(servers=4)
     bad = drive.agent.servers[1]
-    bad.ok = 0.1
+    bad.health = 0.1
     for _ in range(40):
         drive.tick(500.0)
         drive.agent._rank()
-    assert bad.ok > 0.7
+    assert bad.health > 0.7
 
 
 def test_a_server_that_was_slow_is_tried_and_trusted_again() -> None:
     """Slowness and the bound on open work do not age, but a server avoided for them is still drawn now and then."""
     drive = Drive(servers=3)
     slow = drive.agent.servers[1]
-    slow.slow, slow.limit = 8.0, 1.0
+    slow.slowness, slow.concurrency_limit = 8.0, 1.0
     rng, used = random.Random(1), 0
     for i in range(1500):
         drive.now += 20.0
@@ -89,7 +95,7 @@
         for send in sends(drive.ask()[1]):
             used += i >= 1200 and send.server == 1
             drive.end(send, latency=rng.uniform(100.0, 300.0))
-    assert slow.slow < 2.0 and used > 300 / 3 / 2
+    assert slow.slowness < 2.0 and used > 300 / 3 / 2
 
 
 def test_the_crossing_of_zones_counts_where_it_has_a_price() -> None:
@@ -107,7 +113,7 @@
         for server in drive.agent.servers.values():
             for cls in range(3):
                 for _ in range(2 if server.id in (1, 20) else 0):
-                    drive.agent._see(server, cls, trial_ms if server.id == 20 else earlier_ms, 1)
+                    drive.agent._record_outcome(server, cls, trial_ms if server.id == 20 else earlier_ms, 1)
         drive.tick(490.0)
     return drive.agent.tripped
 
@@ -152,14 +158,14 @@
     drive.agent.shared = True
     row = [20.0, 0.0, 100.0, 0.0] * 3 + [25.0, 1.0, 25.0, 1.0]
     drive.agent.pools = {pool: row for pool in drive.agent.pools}
-    assert drive.agent._enough(trial, earlier)
+    assert drive.agent._enough_evidence(trial, earlier)
     drive.agent.pools = {pool: [20.0, 3.0, *row[2:]] for pool in drive.agent.pools}
-    assert not drive.agent._enough(trial, earlier)
+    assert not drive.agent._enough_evidence(trial, earlier)
 
 
 def test_a_request_avoids_a_server_whose_oldest_attempt_has_long_been_out() -> None:
     """Without it a server that stands still looks as good as one that answers until its time-outs come."""
     drive = Drive(servers=2)
     one, two = drive.agent.servers[1], drive.agent.servers[2]
-    one.open, two.open = {(1, 0): drive.now - 3000.0}, {(2, 0): drive.now}
+    one.open_attempts, two.open_attempts = {(1, 0): drive.now - 3000.0}, {(2, 0): drive.now}
     assert drive.agent._cost(one) > 2 * drive.agent._cost(two)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -29,8 +29,8 @@
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
 from otterquay.policy.agent import Agent
-from otterquay.policy.bins import GONE_MS
-from otterquay.policy.evidence import NOTE
+from otterquay.policy.bins import FORGET_SERVER_MS
+from otterquay.policy.evidence import NOTE_HEADER
 from otterquay.policy.scoring import tail
 from otterquay.protocol import news, orca
 from otterquay.protocol.http import write_response
@@ -102,7 +102,7 @@
 
 
 def keys_at_most(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    for module in ("rules", "life"):
+    for module in ("rules", "requests"):
         monkeypatch.setattr(f"otterquay.policy.{module}.KEYS_MOST", number)
 
 
@@ -121,8 +121,13 @@
         verdicts.append(release(days, build))
         sizes.append(len(pickle.dumps(days.agent)))
         agent = days.agent
-        assert len(agent.servers) <= 8 and len(agent.answered) <= 301 and not agent.jobs and not agent.away
-        lists = [*agent.tries.values(), *agent.asked, agent.borne, agent.to_cold]
+        assert (
+            len(agent.servers) <= 8
+            and len(agent.key_builds) <= 301
+            and not agent.pending_requests
+            and not agent.in_flight
+        )
+        lists = [*agent.attempt_times.values(), *agent.request_times, agent.success_times, agent.cold_send_times]
         assert sum(map(len, lists)) < 1000
     assert max(sizes[3:]) <= 1.1 * max(sizes[:3]), sizes
     assert all(it.Verdict.ON in v and it.Verdict.BACK not in v for v in verdicts), "a good build, each time"
@@ -138,10 +143,10 @@
         play(drive, good, 10.0, rate=100.0)
         agent = drive.agent
         sizes.append(
-            sum(map(len, agent.tries.values()))
-            + len(agent.borne)
-            + len(agent.to_cold)
-            + sum(len(s.sent) for s in agent.servers.values())
+            sum(map(len, agent.attempt_times.values()))
+            + len(agent.success_times)
+            + len(agent.cold_send_times)
+            + sum(len(s.send_times) for s in agent.servers.values())
         )
     assert max(sizes) < 100 * (4.0 + 2.0 + 2.0 + 2.0), sizes
 
@@ -151,7 +156,7 @@
     drive.list(entry(1, state=it.ServerState.GONE))
     (send,) = sends(drive.ask(budget=3000.0)[1])
     drive.list(entry(2, state=it.ServerState.GONE))
-    drive.tick(GONE_MS - 1000.0)
+    drive.tick(FORGET_SERVER_MS - 1000.0)
     assert set(drive.agent.servers) == {1, 2}, "complaints and restarts are still told apart"
     drive.tick(2000.0)
     assert set(drive.agent.servers) == {send.server}, "one with an attempt out stays"
@@ -160,7 +165,7 @@
     assert not drive.agent.servers
     for i in range(2000):
         drive.list(entry(i, state=it.ServerState.GONE))
-    drive.tick(GONE_MS + 1000.0)
+    drive.tick(FORGET_SERVER_MS + 1000.0)
     assert not drive.agent.servers
 
 
@@ -177,7 +182,7 @@
         for send in sends(drive.ask(key=key)[1]):
             drive.end(send)
             served.append(key)
-    assert len(drive.agent.answered) <= 11
+    assert len(drive.agent.key_builds) <= 11
     assert len(served) == (10 if phase is it.Phase.TRIAL else 30), "on trial, what cannot be kept is not sent there"
     drive.list(entry(9, build=2, state=it.ServerState.GONE), entry(1, build=1))
     assert not any(sends(drive.ask(key=key)[1]) for key in served), "all of them are still known or covered"
@@ -198,17 +203,17 @@
         drive.news(2, 1, phase, 1.0)
         drive.news(3, 0, it.Phase.TRIAL, 0.14)
         drive.list(entry(9, build=2, state=it.ServerState.GONE), entry(1, build=1))
-        assert not drive.agent.answered and bool(sends(drive.ask(key=5)[1])) is not bound
+        assert not drive.agent.key_builds and bool(sends(drive.ask(key=5)[1])) is not bound
 
 
 def test_a_timer_that_fires_a_hair_early_is_not_the_last() -> None:
     """The module set no further timer, and never judged, closed a bin or healed a server again."""
     drive = Drive()
     drive.tick(500.0)
-    drive.now = drive.agent.next_bin - 1e-7
+    drive.now = drive.agent.next_bin_at - 1e-7
     assert any(isinstance(a, it.SetTimer) for a in drive.give(it.TimerFired(0)))
-    bins = drive.agent.bins
-    assert not drive.tick(0.0) and drive.agent.bins == bins, "and it counts once"
+    bins = drive.agent.bin_count
+    assert not drive.tick(0.0) and drive.agent.bin_count == bins, "and it counts once"
 
 
 def test_times_and_builds_after_years_are_as_exact_as_at_first() -> None:
@@ -246,10 +251,10 @@
 def test_a_note_of_huge_counts_and_a_tally_of_millions_hold_nobody_up() -> None:
     drive = offered(config=settings(agents=2, limits={"peers": True}))
     row = [1e38, 1e37, 1e38, 1.0] * 4
-    drive.give(it.PeerMessage(1, NOTE.pack(1, 2, 3) + struct.pack("<16f", *row)))
+    drive.give(it.PeerMessage(1, NOTE_HEADER.pack(1, 2, 3) + struct.pack("<16f", *row)))
     drive.give(it.Tally(2, 0, 2**32 - 1, 2**31, 100.0, 10.0))
     play(drive, good, 2.0)
-    assert drive.agent.bins > 0
+    assert drive.agent.bin_count > 0
 
 
 # --- list and desk ---
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -162,11 +162,11 @@
 
 
 def no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Agent, "_give_up", lambda self, job: self._over(job, 0.0))
+    monkeypatch.setattr(Agent, "_give_up", lambda self, job: self._finish(job, 0.0))
 
 
 def all_unrun(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("otterquay.policy.life.UNRUN", set(it.Status))
+    monkeypatch.setattr("otterquay.policy.requests.UNRUN", set(it.Status))
 
 
 def no_cap(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -240,7 +240,7 @@
             self.play("long")
         for one in self.agents:
             owed = [r for r, duty in one.books.duties.items() if duty.finals != 1]
-            if owed or one.out or one.agent.jobs or one.agent.away:
+            if owed or one.out or one.agent.pending_requests or one.agent.in_flight:
                 raise Broken("answered", f"{owed} without one final answer")
 
 
--- a/tests/test_replaced.py
+++ b/tests/test_replaced.py
@@ -32,7 +32,7 @@
 def worn() -> Drive:
     """An agent with one server of which it has learnt much, all of it bad, and an attempt out."""
     drive = Drive(settings(report_fields=(it.LoadField.INFLIGHT,), reports_in_answers=True), servers=1)
-    drive.agent.gauge = 0
+    drive.agent.load_index = 0
     for _ in range(6):
         drive.tick(500.0)
         drive.now += 10.0  # what comes in the turn in which it is woken late is not booked
@@ -48,16 +48,19 @@
     drive = worn()
     drive.now += 10.0
     old = drive.agent.servers[1]
-    assert old.ok < 0.7 and old.series and old.open and old.load == 50.0 and old.sent
+    assert old.health < 0.7 and old.series and old.open_attempts and old.load == 50.0 and old.send_times
     drive.list(REPLACED[what], kind=how)
     fresh = drive.agent.servers[1]
-    assert fresh is not old and (fresh.ok, fresh.slow, fresh.load, fresh.errors) == (1.0, 1.0, 0.0, 0)
-    assert not (fresh.open or fresh.sent or fresh.series or fresh.bin) and fresh.linked == -math.inf
+    assert fresh is not old and (fresh.health, fresh.slowness, fresh.load, fresh.errors) == (1.0, 1.0, 0.0, 0)
+    assert (
+        not (fresh.open_attempts or fresh.send_times or fresh.series or fresh.bin_latencies)
+        and fresh.connected_at == -math.inf
+    )
 
     (send,) = (a for a in drive.all if isinstance(a, it.Send) and a.request == drive.ids)
     drive.give(it.Outcome(send.request, 1, 0, it.Status.ERROR, 800.0, True, (60.0,)))
     drive.tick(500.0)
-    assert not fresh.series and fresh.ok == 1.0 and fresh.load == 0.0, "the old one's end is the old one's"
+    assert not fresh.series and fresh.health == 1.0 and fresh.load == 0.0, "the old one's end is the old one's"
 
 
 def test_what_was_sent_since_a_start_that_is_told_late_counts_against_it() -> None:
@@ -68,12 +71,12 @@
     late = sends(drive.ask()[1])[0]
     drive.list(entry(1, started=drive.now - 100.0))
     fresh = drive.agent.servers[1]
-    assert fresh.sent == [drive.now] and [leg[0] for leg in fresh.open] == [late.request]
-    assert fresh.seen == 0 and fresh.limit == 6.0, "of what we learnt nothing is kept"
+    assert fresh.send_times == [drive.now] and [leg[0] for leg in fresh.open_attempts] == [late.request]
+    assert fresh.outcomes == 0 and fresh.concurrency_limit == 6.0, "of what we learnt nothing is kept"
     drive.end(early)
-    assert fresh.open
+    assert fresh.open_attempts
     drive.end(late)
-    assert not fresh.open
+    assert not fresh.open_attempts
 
 
 def test_an_attempt_out_at_the_old_one_speaks_of_the_build_that_ran_it() -> None:
@@ -83,7 +86,7 @@
     (send,) = sends(drive.ask()[1])
     drive.list(entry(1, build=2))
     drive.end(send, it.Status.ERROR, over=True)
-    assert drive.agent.fresh[:4] == [0.0, 0.0, 1.0, 1.0], "an error of the earlier build, none of the trial"
+    assert drive.agent.own_row[:4] == [0.0, 0.0, 1.0, 1.0], "an error of the earlier build, none of the trial"
 
 
 def test_a_complaint_on_an_answer_of_the_old_one_is_none_of_the_new_one() -> None:
@@ -93,9 +96,9 @@
     drive.list(entry(1, build=2, started=drive.now))
     drive.now += 1000.0
     drive.give(it.Complaint(0, 1, 1500.0))
-    assert drive.agent.fresh == drive.agent.none and not drive.agent.servers[1].bin
+    assert drive.agent.own_row == drive.agent.empty_row and not drive.agent.servers[1].bin_latencies
     drive.give(it.Complaint(0, 1, 900.0))
-    assert drive.agent.fresh[:2] == [0.0, 1.0]
+    assert drive.agent.own_row[:2] == [0.0, 1.0]
 
 
 def test_a_start_that_is_not_told_makes_no_cold_server_warm_and_is_no_restart() -> None:
@@ -112,13 +115,13 @@
     drive = Drive(servers=1)
     cold = entry(9, started=drive.now)
     drive.list(cold)
-    while not drive.agent.servers[9].sent:
+    while not drive.agent.servers[9].send_times:
         for send in sends(drive.ask()[1]):
             drive.end(send)
     drive.list(entry(9, started=cold.started_ms, state=it.ServerState.GONE))
     drive.tick(500.0)
     drive.list(cold)
-    assert drive.agent.servers[9].sent, "forgetting must not free it"
+    assert drive.agent.servers[9].send_times, "forgetting must not free it"
 
 
 # --- the book of the list ---
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,7 +13,7 @@
 
 from otterquay import interface as it
 from otterquay.policy.agent import Agent
-from otterquay.policy.state import Job
+from otterquay.policy.state import PendingRequest
 
 MANY = {"agents": 200, "limits": {"peers": True}}
 
@@ -39,9 +39,9 @@
 
 
 def test_judges_are_the_same_for_all_and_few_agents_are_all_judges() -> None:
-    of = {me: tuple(Agent(settings(me=me, **MANY), 1).judges) for me in range(0, 200, 13)}
+    of = {me: tuple(Agent(settings(me=me, **MANY), 1).evaluators) for me in range(0, 200, 13)}
     assert len(set(of.values())) == 1 and max(of[0]) > 100
-    assert Agent(settings(agents=3, limits={"peers": True}), 1).judges == [0, 1, 2]
+    assert Agent(settings(agents=3, limits={"peers": True}), 1).evaluators == [0, 1, 2]
 
 
 def test_who_tells_its_evidence_votes_back_on_it_but_never_on() -> None:
@@ -62,7 +62,7 @@
             drive.now += 2500.0
             server = drive.agent.servers[20]
             for i in range(40):
-                drive.agent._see(server, 0, math.nan if i < errors else 100.0, 1)
+                drive.agent._record_outcome(server, 0, math.nan if i < errors else 100.0, 1)
             drive.tick(500.0)
             if any(isinstance(a, it.CastVote) and a.verdict is it.Verdict.BACK for a in drive.all):
                 return errors
@@ -78,7 +78,7 @@
     for version, build in ((1, 2), (9, 2), (1, 3)):
         data = struct.pack("<BHB", version, build, 3) + struct.pack("<16f", *row)
         assert drive.give(it.PeerMessage(1, data)) == []
-    assert drive.agent.heard == drive.agent.none
+    assert drive.agent.peer_row == drive.agent.empty_row
 
 
 @pytest.mark.parametrize(("agents", "me"), [(0, 0), (1, 5), (3, 70000)])
@@ -146,14 +146,14 @@
 
 
 def shed(drive: Drive, cls: int, tenant: int = 0) -> float:
-    outcomes = [drive.agent._hopeless(job(drive, cls, tenant)) for _ in range(300)]
+    outcomes = [drive.agent._should_shed(job(drive, cls, tenant)) for _ in range(300)]
     return sum(outcomes) / len(outcomes)
 
 
-def job(drive: Drive, cls: int, tenant: int = 0) -> Job:
+def job(drive: Drive, cls: int, tenant: int = 0) -> PendingRequest:
     request = it.Request(1, cls, tenant, 0, 2000.0, 0.0, False, False, False)
-    made = Job(request, drive.now, SETTINGS.classes[cls])
-    made.cells += [3 + tenant] if drive.agent.by_tenant else []
+    made = PendingRequest(request, drive.now, SETTINGS.classes[cls])
+    made.cells += [3 + tenant] if drive.agent.tenant_request_times else []
     return made
 
 
@@ -234,13 +234,13 @@
         drive = Drive(servers=4)
         play(drive, good, 6.0)
         (send,) = sends(drive.ask()[1])
-        before = drive.agent.servers[send.server].slow
+        before = drive.agent.servers[send.server].slowness
         for _ in range(40):
             drive.now += 50.0
             if tick:
                 drive.give(it.TimerFired(0))
         drive.end(send, it.Status.OK, 2000.0)
-        return drive.agent.servers[send.server].slow - before
+        return drive.agent.servers[send.server].slowness - before
 
     assert slowness(tick=False) == 0.0 < 0.3 < slowness(tick=True)
 
@@ -260,14 +260,14 @@
 def test_a_class_that_is_shed_does_not_hold_the_step_of_a_build() -> None:
     """None of its outcomes can come: the classes that are served must do."""
     drive = offered()
-    drive.agent.tried[2] = (50.0, 1.0)
-    row = drive.agent.none[:]
+    drive.agent.sent_and_useful[2] = (50.0, 1.0)
+    row = drive.agent.empty_row[:]
     row[0:2], row[4:6] = [30.0, 0.0], [20.0, 0.0]  # trial outcomes of the classes 0 and 1, none of class 2
     drive.agent.pools["own", 40] = row
     trial, earlier = ([s for s in drive.agent.servers.values() if s.entry.build == b] for b in (2, 1))
-    assert drive.agent._enough(trial, earlier)
-    drive.agent.tried[2] = (50.0, 49.0)
-    assert not drive.agent._enough(trial, earlier)
+    assert drive.agent._enough_evidence(trial, earlier)
+    drive.agent.sent_and_useful[2] = (50.0, 49.0)
+    assert not drive.agent._enough_evidence(trial, earlier)
 
 
 def test_judges_seek_a_class_that_the_trial_has_not_brought() -> None:
@@ -280,7 +280,7 @@
         hits = 0
         for _ in range(100):
             drive.tick(50.0)
-            seen = [got if i % 4 == 0 else 0.0 for i in range(len(drive.agent.none))]
+            seen = [got if i % 4 == 0 else 0.0 for i in range(len(drive.agent.empty_row))]
             drive.agent.pools["own", 40] = [*seen, 0.0, 0.0, 0.0]
             for send in sends(drive.ask()[1]):
                 hits += send.server == 20
@@ -292,15 +292,15 @@
 
 def test_later_steps_wait_for_warm_latencies_of_the_trial() -> None:
     drive = offered(stage=1, cap=0.5, trials=6)
-    row = drive.agent.none[:]
+    row = drive.agent.empty_row[:]
     for cls in range(3):
         row[4 * cls : 4 * cls + 4] = [30.0, 0.0, 90.0, 0.0]
     row[-4:] = [5.0, 0.0, 90.0, 0.0]  # five warm latencies of the trial, ninety of the earlier build
     trial, earlier = ([s for s in drive.agent.servers.values() if s.entry.build == b] for b in (2, 1))
     drive.agent.pools["own", 40] = row
-    assert not drive.agent._enough(trial, earlier)
+    assert not drive.agent._enough_evidence(trial, earlier)
     row[-4] = 25.0
-    assert drive.agent._enough(trial, earlier)
+    assert drive.agent._enough_evidence(trial, earlier)
 
 
 def test_a_tally_without_a_time_is_no_level() -> None:
@@ -310,4 +310,4 @@
     for mean in (0.0, 100.0, 0.0):
         drive.give(it.Tally(1, 0, 20, 0, mean, 500.0))
         drive.give(it.Tally(2, 0, 20, 0, 100.0 - mean, 500.0))
-    assert drive.agent.tallied[-4:] == [0.0] * 4
+    assert drive.agent.tally_row[-4:] == [0.0] * 4
--- a/tests/test_tapes.py
+++ b/tests/test_tapes.py
@@ -47,14 +47,14 @@
     """The crossing of zones costs a hair more: one of many choices falls otherwise."""
 
     def _cost(self, server: Server) -> float:
-        return super()._cost(server) * (1.0 + 1e-3 * (server.entry.zone != self.s.zone))
+        return super()._cost(server) * (1.0 + 1e-3 * (server.entry.zone != self.settings.zone))
 
 
 class Later(Agent):
     """A build's series settle one point later."""
 
-    def _enough(self, trial: list[Server], earlier: list[Server]) -> bool:
-        return len(self.points) != 4 and super()._enough(trial, earlier)
+    def _enough_evidence(self, trial: list[Server], earlier: list[Server]) -> bool:
+        return len(self.points) != 4 and super()._enough_evidence(trial, earlier)
 
 
 @pytest.mark.parametrize("other", [Nearer, Later])
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -290,12 +290,12 @@
 
 def bins(drive: Drive, count: int, trial: tuple[int, float], earlier: tuple[int, float]) -> set[it.Verdict]:
     """So many bins in which servers of each build gave so many answers at a log latency over the usual."""
-    before, at = len(drive.all), 4 * drive.agent.n
+    before, at = len(drive.all), 4 * drive.agent.class_count
     for _ in range(count):
         for i, (n, level) in ((at, trial), (at + 2, earlier)):
-            drive.agent.fresh[i] += n
-            drive.agent.fresh[i + 1] += n * level
-        drive.agent.fresh[0] += trial[0]
+            drive.agent.own_row[i] += n
+            drive.agent.own_row[i + 1] += n * level
+        drive.agent.own_row[0] += trial[0]
         drive.tick(500.0)
     return {a.verdict for a in drive.all[before:] if isinstance(a, it.CastVote)}
 
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -12,7 +12,7 @@
 from otterquay import interface as it
 from otterquay import policy
 from otterquay.policy.agent import Agent
-from otterquay.policy.state import PAIRS_A_BIN
+from otterquay.policy.state import PAIRS_PER_BIN
 
 
 def refused(servers: int, monkeypatch: pytest.MonkeyPatch) -> int:
@@ -23,7 +23,7 @@
     while sends(drive.ask()[1]):
         pass
     asked = 0
-    gate, window = Agent.may_send, Agent._exposed
+    gate, window = Agent.may_send, Agent._exposure
 
     def counted(*given: object) -> bool:
         nonlocal asked
@@ -36,7 +36,7 @@
         return window(*given)  # type: ignore[arg-type]
 
     monkeypatch.setattr(Agent, "may_send", counted)
-    monkeypatch.setattr(Agent, "_exposed", looked)
+    monkeypatch.setattr(Agent, "_exposure", looked)
     _, actions = drive.ask()
     monkeypatch.undo()
     assert any(isinstance(a, it.Refuse) for a in actions)
@@ -72,7 +72,7 @@
     grown = {what: large[what] / small[what] for what in small}
     assert grown["request"] < 1.1 and grown["tally"] < 1.1, "a request and a tally look at few servers"
     assert grown["verdict"] < 10 and grown["change"] < 10 and grown["refusal"] < 10, "no more than all, once"
-    pairs = 2 * 2 * 2 * PAIRS_A_BIN  # metrics of two classes, trial and baseline
+    pairs = 2 * 2 * 2 * PAIRS_PER_BIN  # metrics of two classes, trial and baseline
     assert small["verdict"] < pairs * 4000, "most of a verdict is a fixed number of pairs"
 
 
@@ -84,7 +84,7 @@
 def test_a_verdict_after_many_errors_costs_no_more_than_after_few() -> None:
     def after(errors: float) -> int:
         driven = Driven(48)
-        driven.agent._book(driven.agent.fresh, 2, 0, 2 * errors, errors)
+        driven.agent._add_evidence(driven.agent.own_row, 2, 0, 2 * errors, errors)
         return instructions(driven.verdict)
 
     assert after(1e6) < 1.2 * after(10.0)
