--- a/otterquay/policy/scoring.py
+++ b/otterquay/policy/scoring.py
@@ -4,8 +4,8 @@
 from collections.abc import Sequence
 from statistics import fmean, pvariance, variance
 
-T_LIMIT = (12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228)  # DESIGN: 0.05, by freedom
-POINTS_LEAST = 4  # ours: points for a vote
+T_CRITICAL = (12.71, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228)  # DESIGN: 0.05, by freedom
+MIN_BIN_SCORES = 4  # ours: points for a vote
 
 
 def scaled(series: Sequence[float]) -> list[float]:  # to 0..1; a flat one becomes zeros
@@ -34,11 +34,11 @@
 
 
 def settled(points: Sequence[float]) -> bool:  # DESIGN: halves that a t-test finds alike, or flat ones
-    if len(points) < POINTS_LEAST:
+    if len(points) < MIN_BIN_SCORES:
         return False
     a, b, df = points[: len(points) // 2], points[len(points) // 2 :], len(points) - 2
     spread = ((len(a) - 1) * variance(a) + (len(b) - 1) * variance(b)) / df * (1 / len(a) + 1 / len(b))
-    return abs(fmean(a) - fmean(b)) <= T_LIMIT[min(df, len(T_LIMIT)) - 1] * math.sqrt(spread)
+    return abs(fmean(a) - fmean(b)) <= T_CRITICAL[min(df, len(T_CRITICAL)) - 1] * math.sqrt(spread)
 
 
 def tail(n: float, x: float, p: float) -> float:  # chance of x or more errors in n, by Poisson's law
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -315,8 +315,8 @@
     drive.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")))
     assert drive.agent._cap(1) is None and drive.agent._cap(2) == drive.agent.rollout.stage_cap[0]
     drive.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
-    assert drive.agent.settle > drive.now
+    assert drive.agent.settle_until > drive.now
     heard = Drive()
     heard.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 5.0))
     heard.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
-    assert heard.agent.settle == 0.0
+    assert heard.agent.settle_until == 0.0
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -115,7 +115,7 @@
                 for _ in range(2 if server.id in (1, 20) else 0):
                     drive.agent._record_outcome(server, cls, trial_ms if server.id == 20 else earlier_ms, 1)
         drive.tick(490.0)
-    return drive.agent.tripped
+    return drive.agent.trip_reason
 
 
 def test_a_trial_whose_middle_is_late_for_three_bins_goes_back_unless_the_earlier_build_is_late_too() -> None:
@@ -155,7 +155,7 @@
     drive.now += 2500.0
     trial = [drive.agent.servers[20]]
     earlier = [drive.agent.servers[i] for i in range(1, 9)]
-    drive.agent.shared = True
+    drive.agent.errors_widespread = True
     row = [20.0, 0.0, 100.0, 0.0] * 3 + [25.0, 1.0, 25.0, 1.0]
     drive.agent.pools = {pool: row for pool in drive.agent.pools}
     assert drive.agent._enough_evidence(trial, earlier)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -153,7 +153,7 @@
 def job(drive: Drive, cls: int, tenant: int = 0) -> PendingRequest:
     request = it.Request(1, cls, tenant, 0, 2000.0, 0.0, False, False, False)
     made = PendingRequest(request, drive.now, SETTINGS.classes[cls])
-    made.cells += [3 + tenant] if drive.agent.tenant_request_times else []
+    made.group_indexes += [3 + tenant] if drive.agent.tenant_request_times else []
     return made
 
 
--- a/tests/test_tapes.py
+++ b/tests/test_tapes.py
@@ -54,7 +54,7 @@
     """A build's series settle one point later."""
 
     def _enough_evidence(self, trial: list[Server], earlier: list[Server]) -> bool:
-        return len(self.points) != 4 and super()._enough_evidence(trial, earlier)
+        return len(self.bin_scores) != 4 and super()._enough_evidence(trial, earlier)
 
 
 @pytest.mark.parametrize("other", [Nearer, Later])
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -315,7 +315,7 @@
     if gone:
         drive.list(*[entry(i, state=it.ServerState.GONE) for i in range(1, 9)])
     bins(drive, 3, (30, 0.3), (20, 1.5))
-    assert bool(drive.agent.worse_bins) is not gone
+    assert bool(drive.agent.slower_bins) is not gone
 
 
 def test_an_on_vote_is_taken_back_when_its_grounds_fall_away() -> None:
