--- a/otterquay/policy/__init__.py
+++ b/otterquay/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions, by subject: scoring, state, rules, news, evidence, breaker, votes, bins, routing, life."""
+"""The decision module: scoring, state, rules, updates, evidence, breaker, votes, bins, routing and requests."""
--- a/otterquay/policy/breaker.py
+++ b/otterquay/policy/breaker.py
@@ -1,4 +1,4 @@
-"""When a build on trial is sent back at once: errors, levels, late classes, all slower since it came."""
+"""The circuit breaker: sends a bad build back at once, by errors, latency levels, late classes or slowness."""
 
 import math
 from statistics import median
@@ -8,83 +8,120 @@
 from otterquay.policy.scoring import tail
 from otterquay.policy.state import BIN_MS, POOL_BINS, SERIES_BINS, Server
 
-ERROR_MARGIN, CHANCE_ERROR_SHARE, MAX_FALSE_TRIP_PROBABILITY = (
-    0.025,
-    0.01,
-    0.001,
-)  # DESIGN's five points halved; laid to chance; sure if rarer
-TRIP_LATE_BINS, LEVEL_SIGMAS, MIN_FAILING_SPREAD, MIN_FAILING_MACHINES = (
-    3,
-    2.3,
-    0.6,
-    3,
-)  # DESIGN: late bins that break; sure; machines hit
+# Error share over the usual one at which the breaker may trip: half of the five points that the design prescribes.
+ERROR_MARGIN = 0.025
+# Error share that is put down to chance.
+CHANCE_ERROR_SHARE = 0.01
+# The breaker trips only on errors that are rarer than this by chance.
+MAX_FALSE_TRIP_PROBABILITY = 0.001
+# Late bins in a row that trip the breaker. Prescribed by the published design.
+TRIP_LATE_BINS = 3
+# Standard deviations by which a level must be off.
+LEVEL_SIGMAS = 2.3
+# Part of the machines expected to fail at a failing build that must fail for errors to count as widespread.
+MIN_FAILING_SPREAD = 0.6
+# Where machines of the earlier build fail too: failing machines of the trial, and multiple of the usual errors.
+MIN_FAILING_MACHINES = 3
+# In this order: latencies that a level needs; the log ratio to the earlier build that trips the breaker; the
+# variance of one log latency; the variance of one server's mean log latency.
 MIN_LEVEL_LATENCIES, TRIP_LEVEL_LOG, LATENCY_VARIANCE, SERVER_VARIANCE = (
     20,
     math.log(1.8),
     0.5,
     0.08,
-)  # latencies; slower; variances
-SLOWER_LOG, TRIP_SLOWER_BINS = math.log(1.4), 14  # all slower by this: no step on, so long: back
+)
+# Log ratio to the usual latency from which all servers count as slower, which holds every step; and the number of
+# such bins in a row after which the build goes back.
+SLOWER_LOG, TRIP_SLOWER_BINS = math.log(1.4), 14
 
 
-class Breaker(Evidence):  # says why, or nothing
-    def _breaker(self, trial: list[Server], earlier: list[Server], own: float) -> str:  # DESIGN, but surer
-        mates = [s for s in self.servers.values() if s.entry.build == self.stage_news.build]
-        known, total = [s.errors for s in mates if s.outcomes] or [0], self._totals("own", POOL_BINS)[0][-1][1]
-        hit = sum(x > 0 for x in known)  # failing machines are no failing build, which would hit most alike
-        most = hit >= max(2, MIN_FAILING_SPREAD * len(known) * (1 - (1 - 1 / len(known)) ** sum(known)))
-        self.errors_widespread = len(mates) == 1 or 2 * sum(known) < total or most  # what peers saw, was elsewhere
+class Breaker(Evidence):
+    """Tells why a build must go back. Prescribed by the published design, with more certainty required here."""
+
+    def _breaker(self, trial: list[Server], earlier: list[Server], own_outcomes: float) -> str:
+        """Return the reason to send the build back, or an empty string."""
+        trial_servers = [s for s in self.servers.values() if s.entry.build == self.stage_news.build]
+        known_errors, total_errors = (
+            [s.errors for s in trial_servers if s.outcomes] or [0],
+            self._totals("own", POOL_BINS)[0][-1][1],
+        )
+        # A few failing machines do not make a failing build, which would fail on most machines alike.
+        failing = sum(x > 0 for x in known_errors)
+        most_fail = failing >= max(
+            2, MIN_FAILING_SPREAD * len(known_errors) * (1 - (1 - 1 / len(known_errors)) ** sum(known_errors))
+        )
+        # Where most errors were seen by peers only, they happened elsewhere, too.
+        self.errors_widespread = len(trial_servers) == 1 or 2 * sum(known_errors) < total_errors or most_fail
         for name, span in self.pools:
-            rows, (*_, n1, s1, s0) = self._totals(name, span)
-            # of many that judge on evidence of their own, one errs by chance
-            many = max(self.settings.agents, 1) if name == "own" and self.settings.me not in self.evaluators else 1
-            for cls, (n, x, old_n, old_x) in enumerate(rows):
-                if old_n >= MIN_LEVEL_LATENCIES:  # DESIGN: lacking earlier servers, the last baseline stays
-                    self.usual_error_shares[name, span, cls] = (old_x + 0.5) / (old_n + 1)
+            rows, (*_, level_n, trial_sum, earlier_sum) = self._totals(name, span)
+            # Of many agents that each judge on their own evidence, one errs by chance.
+            judging = (
+                max(self.settings.agents, 1) if name == "own" and self.settings.me not in self.evaluators else 1
+            )
+            for cls, (n, errors, old_n, old_errors) in enumerate(rows):
+                # Without earlier servers the last baseline stays. Prescribed by the published design.
+                if old_n >= MIN_LEVEL_LATENCIES:
+                    self.usual_error_shares[name, span, cls] = (old_errors + 0.5) / (old_n + 1)
                 usual = max(
-                    self.usual_error_shares.get((name, some, cls), CHANCE_ERROR_SHARE)
-                    for some in (POOL_BINS, SERIES_BINS)
+                    self.usual_error_shares.get((name, some_span, cls), CHANCE_ERROR_SHARE)
+                    for some_span in (POOL_BINS, SERIES_BINS)
+                )
+                # While machines of the earlier build fail too, most of the trial's must fail, and far more often.
+                clearly_worse = (
+                    judging == 1
+                    and errors > MIN_FAILING_MACHINES * usual * n
+                    and most_fail
+                    and failing >= MIN_FAILING_MACHINES
                 )
-                # while machines of the earlier build fail too, most of the trial's must fail far more
-                sure = many == 1 and x > MIN_FAILING_MACHINES * usual * n and most and hit >= MIN_FAILING_MACHINES
                 if (
-                    total > 1.5
-                    and (sure or (self.errors_widespread and usual <= CHANCE_ERROR_SHARE))
-                    and x > max(1.5, (usual + ERROR_MARGIN) * n)
-                    and tail(max(n, x), x, usual + CHANCE_ERROR_SHARE) < MAX_FALSE_TRIP_PROBABILITY / many
+                    total_errors > 1.5
+                    and (clearly_worse or (self.errors_widespread and usual <= CHANCE_ERROR_SHARE))
+                    and errors > max(1.5, (usual + ERROR_MARGIN) * n)
+                    and tail(max(n, errors), errors, usual + CHANCE_ERROR_SHARE)
+                    < MAX_FALSE_TRIP_PROBABILITY / judging
                 ):
-                    return f"errors {name} class {cls}: {x:.0f} of {n:.0f}, usual {usual:.3f}"
-            if self.stage_news.phase is it.Phase.TRIAL and trial and earlier and n1 >= MIN_LEVEL_LATENCIES:
-                m1, m0 = s1 / n1, 2 * max(s0 / n1, 0.0)  # idle ones are no measure
+                    return f"errors {name} class {cls}: {errors:.0f} of {n:.0f}, usual {usual:.3f}"
+            if self.stage_news.phase is it.Phase.TRIAL and trial and earlier and level_n >= MIN_LEVEL_LATENCIES:
+                # Idle earlier servers answer quicker than usual and are no measure.
+                trial_level, earlier_level = trial_sum / level_n, 2 * max(earlier_sum / level_n, 0.0)
                 warm = sum(self._age(s) > self.settings.rules.cold_ms + 2 * BIN_MS for s in trial)
-                noise = math.sqrt(2 * LATENCY_VARIANCE / n1 + SERVER_VARIANCE / max(warm, 1))
-                if m1 - m0 - math.sqrt(LEVEL_SIGMAS**2 + 2 * math.log(many)) * noise > TRIP_LEVEL_LOG:
-                    return f"level {name}: {math.exp(m1 - s0 / n1):.2f} times earlier, {n1:.0f} each"
-        late = [
+                noise = math.sqrt(2 * LATENCY_VARIANCE / level_n + SERVER_VARIANCE / max(warm, 1))
+                if (
+                    trial_level - earlier_level - math.sqrt(LEVEL_SIGMAS**2 + 2 * math.log(judging)) * noise
+                    > TRIP_LEVEL_LOG
+                ):
+                    return (
+                        f"level {name}: {math.exp(trial_level - earlier_sum / level_n):.2f} times earlier, "
+                        f"{level_n:.0f} each"
+                    )
+        late_classes = [
             c
-            for c, cls in enumerate(self.settings.classes if own >= 2 * self.class_count else ())
+            for c, cls in enumerate(self.settings.classes if own_outcomes >= 2 * self.class_count else ())
             if self._median_latency(trial, c) > cls.aim_ms >= self._median_latency(earlier, c) > 0
         ]
-        self.late_bins = self.late_bins + 1 if late and self.stage_news.phase is it.Phase.TRIAL else 0
-        n1, s1, n0, s0 = self._totals("own", SERIES_BINS)[1][:4]  # log latency over the usual of before
-        # against a good build held for what the earlier one does: what slows all slows the trial's servers,
-        # too, and an earlier build that fails where the trial does not must be replaced
-        n, x, old_n, old_x = self._totals("own", POOL_BINS)[0][-1]  # n may be 0: time-outs are levels only
-        spared = n1 >= MIN_LEVEL_LATENCIES and (
-            s1 / n1 < SLOWER_LOG / 2 or old_x * n > (x + 2 + ERROR_MARGIN * n) * old_n
+        self.late_bins = self.late_bins + 1 if late_classes and self.stage_news.phase is it.Phase.TRIAL else 0
+        # Numbers and sums of log latencies over the usual latency of the time before the trial.
+        trial_n, trial_sum, earlier_n, earlier_sum = self._totals("own", SERIES_BINS)[1][:4]
+        # A good build must not be held for faults of the earlier one: what slows all servers slows the trial's,
+        # too, and an earlier build that fails where the trial does not must be replaced. `n` may be 0, as time-outs
+        # count as levels only.
+        n, errors, old_n, old_errors = self._totals("own", POOL_BINS)[0][-1]
+        trial_is_better = trial_n >= MIN_LEVEL_LATENCIES and (
+            trial_sum / trial_n < SLOWER_LOG / 2 or old_errors * n > (errors + 2 + ERROR_MARGIN * n) * old_n
         )
-        worse = (
+        is_slower = (
             self.stage_news.phase is it.Phase.TRIAL
-            and n0 >= MIN_LEVEL_LATENCIES
-            and s0 / n0 > SLOWER_LOG
-            and not spared
+            and earlier_n >= MIN_LEVEL_LATENCIES
+            and earlier_sum / earlier_n > SLOWER_LOG
+            and not trial_is_better
         )
-        self.slower_bins = self.slower_bins + 1 if worse and earlier else 0  # of those gone only stragglers end
-        slower = (
+        # Once the earlier servers have gone, only their stragglers still end.
+        self.slower_bins = self.slower_bins + 1 if is_slower and earlier else 0
+        slower_reason = (
             "all slower since it came" if self.stage_news.stage and self.slower_bins >= TRIP_SLOWER_BINS else ""
         )
-        return f"late class {late[0]}" if self.late_bins >= TRIP_LATE_BINS else slower
+        return f"late class {late_classes[0]}" if self.late_bins >= TRIP_LATE_BINS else slower_reason
 
     def _median_latency(self, group: list[Server], cls: int) -> float:
+        """Median over servers of the last latency in their series; 0 where none has one."""
         return median([s.series[2 * cls + 1][-1] for s in group if 2 * cls + 1 in s.series] or [0.0])
