--- a/otterquay/interface.py
+++ b/otterquay/interface.py
@@ -1,6 +1,7 @@
-"""What the decision module is told and what it may do: types only, nothing that decides.
+"""The interface of the decision module: its settings, the events it receives and the actions it returns.
 
-Times are milliseconds. Names are the field's standard terms; a wire's words stay in its adapter.
+This module holds types only and makes no decisions. Times are in milliseconds, also in fields without a unit.
+Names that are special to one wire protocol belong to the adapter of that protocol.
 """
 
 from __future__ import annotations
@@ -10,7 +11,10 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """Whether a request may run twice.
+
+    `SAFE` always may, `KEYED` where servers drop repeats of its key, `UNSAFE` never.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -18,7 +22,7 @@
 
 
 class Scope(Enum):
-    """Which servers drop repeats of one keyed request."""
+    """Among which servers repeats of a keyed request are dropped: all, or those of one zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +30,7 @@
 
 
 class Control(Enum):
-    """What moves a stage on."""
+    """What advances a rollout to its next stage: a vote of any agent, a share of the agents, or a timer."""
 
     ANY = "any"
     SHARE = "share"
@@ -34,21 +38,21 @@
 
 
 class Replacement(Enum):
-    """Whether earlier servers stay until the release."""
+    """Whether a new build runs beside the earlier servers until its release or replaces them in place."""
 
     BESIDE = "beside"
     IN_PLACE = "in_place"
 
 
 class Discovery(Enum):
-    """Whether changes of the server list come by themselves."""
+    """Whether changes of the server list are pushed to the agent or have to be asked for."""
 
     PUSH = "push"
     ASK = "ask"
 
 
 class ServerState(Enum):
-    """What the server list says of a server."""
+    """State of a server in the server list."""
 
     GONE = 0
     READY = 1
@@ -56,7 +60,11 @@
 
 
 class ListKind(Enum):
-    """How a list update relates to the list held."""
+    """Kind of an update of the server list.
+
+    `CACHED` and `FULL` are whole lists, `DELTA` holds changed entries only, `FAILED` reports a
+    failed fetch or a lost watch.
+    """
 
     CACHED = "cached"
     FULL = "full"
@@ -65,7 +73,7 @@
 
 
 class Phase(Enum):
-    """Where the newest build stands."""
+    """Phase of the newest build."""
 
     TRIAL = 0
     GOING_BACK = 1
@@ -74,7 +82,7 @@
 
 
 class Verdict(Enum):
-    """What a vote says."""
+    """Verdict of a vote on a build; `NONE` takes an earlier vote back."""
 
     NONE = 0
     ON = 1
@@ -83,7 +91,7 @@
 
 
 class Status(Enum):
-    """How an attempt, probe or vote ended."""
+    """How an attempt, probe or vote ended; `MOOT` marks what was not sent or no longer applied."""
 
     OK = "ok"
     ERROR = "error"
@@ -96,7 +104,7 @@
 
 
 class LoadField(Enum):
-    """A value in a server's load report."""
+    """A field of a server's load report."""
 
     INFLIGHT = "inflight"
     QUEUE = "queue"
@@ -112,7 +120,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests; worth counts in full within the aim."""
+    """A class of requests.
+
+    An answer within `aim_ms` is worth `worth`, a later one within `deadline_ms` only `late_worth` of it.
+    """
 
     name: str
     effect: Effect
@@ -128,7 +139,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant; what it sends beyond its quota is worth little."""
+    """A tenant; requests beyond its quota have a reduced worth."""
 
     name: str
     quota_per_s: float
@@ -137,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the deployment permits."""
+    """What the deployment permits, and its limits."""
 
     cancel: bool
     peers: bool
@@ -152,7 +163,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RuleFigures:
-    """The figures behind the rules."""
+    """The numbers that the five rules use.
+
+    A server crashes from overload when it gets more than `fall_multiple` of its capacity over `fall_ms`. A server
+    is cold for `cold_ms` after its start and begins with `start_capacity` of its full capacity.
+    """
 
     answer_slack_ms: float
     ask_within_ms: float
@@ -165,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """How builds are staged, voted on and priced."""
+    """How builds are staged, how agents vote on them, and what delays and harm cost."""
 
     control: Control
     replacement: Replacement
@@ -194,7 +209,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an agent is told at its start."""
+    """All settings that an agent receives at its start."""
 
     agents: int
     me: int
@@ -220,12 +235,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The agent has just started; its settings came with its making."""
+    """The agent has just started; it got its settings in its constructor."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """One line of the server list."""
+    """An entry of the server list; `started_ms` is 0 where the start is not known or long ago."""
 
     server: int
     zone: int
@@ -239,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """News of the server list."""
+    """An update of the server list."""
 
     kind: ListKind
     version: int
@@ -248,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request, which must get one final answer."""
+    """A client's request, which must get exactly one final answer; `key` is 0 where it has none."""
 
     request: int
     cls: int
@@ -263,7 +278,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Begun:
-    """A streamed answer has started."""
+    """A streamed answer has begun."""
 
     request: int
     attempt: int
@@ -273,7 +288,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How an attempt ended; `over` tells that nothing more is owed."""
+    """How an attempt ended; `over` tells that the request needs no further answer."""
 
     request: int
     server: int
@@ -286,21 +301,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """The client has left; nothing more is owed."""
+    """The client has left, so the request needs no answer any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer of ours has run out."""
+    """A timer that the agent has set with `SetTimer` has fired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """How a probe ended."""
+    """Result of a probe."""
 
     server: int
     status: Status
@@ -310,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Words of another agent."""
+    """A message of another agent."""
 
     sender: int
     data: bytes
@@ -318,9 +333,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StageNews:
-    """Where the newest build stands; `answers_vote` marks the reply to a vote of ours.
+    """Stage and phase of the newest build; `answers_vote` marks the reply to a vote of this agent.
 
-    An infinite age marks what was kept over a restart.
+    An infinite `age_ms` marks news that a store kept over a restart.
     """
 
     build: int
@@ -334,7 +349,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tally:
-    """What the platform counted for one build and class over a period."""
+    """Counts of the platform for one build and class over a period."""
 
     build: int
     cls: int
@@ -346,7 +361,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Complaint:
-    """A client has found an answer wrong that we passed on."""
+    """A client reports that an answer which this agent passed on was wrong."""
 
     cls: int
     server: int
@@ -355,9 +370,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Restored:
-    """What was kept over a restart: attempts as (build, class, when sent), keys as (key, build that answered).
+    """What a store kept over a restart.
 
-    Key 0 stands for every key.
+    `attempts` holds (build, class, time of the send), `answered` holds (key, build that answered); key 0 stands for
+    every key.
     """
 
     attempts: tuple[tuple[int, int, float], ...]
@@ -386,7 +402,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt, given up at `until_ms` on the clock."""
+    """Start an attempt; it times out at `until_ms`, a time on the agent's clock."""
 
     request: int
     server: int
@@ -395,7 +411,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: no, and trying again does no harm."""
+    """Final answer: refused, and the client may try again without harm."""
 
     request: int
     retry_after_ms: float
@@ -403,14 +419,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no promise on its effect."""
+    """Final answer: failed; the request may or may not have had its effect."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel an attempt."""
 
     request: int
     attempt: int
@@ -418,21 +434,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server how it is."""
+    """Probe a server."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Wake us after a delay."""
+    """Send a `TimerFired` event with this token after a delay."""
 
     delay_ms: float
     token: int
@@ -440,7 +456,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TellPeers:
-    """Send a message to one agent, or to all others with `to` None."""
+    """Send a message to one agent, or to all others where `to` is None."""
 
     to: int | None
     data: bytes
@@ -448,7 +464,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CastVote:
-    """Vote on a build."""
+    """Cast a vote on a build at a stage."""
 
     build: int
     stage: int
@@ -457,19 +473,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchList:
-    """Ask once for the whole server list."""
+    """Fetch the whole server list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Follow changes of the server list, or stop."""
+    """Start or stop watching the server list for changes."""
 
     on: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     text: str
 
