--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -100,33 +100,35 @@
     return it.ServerEntry(server, zone, kind, cell, state, 1.0, started, build)
 
 
-class Drive:
+class AgentDriver:
     """An agent with a clock of its own and a memory of what it sent."""
 
     def __init__(self, config: it.Settings = SETTINGS, servers: int = 4, seed: int = 1, now: float = 1e6) -> None:
-        self.agent, self.now, self.ids = Agent(config, seed), now, 100
-        self.all: list[it.Action] = []
-        self.legs: dict[int, int] = {}
-        self.give(it.Started())
-        self.list(*[entry(i) for i in range(1, servers + 1)], kind=it.ListKind.CACHED)
-        self.news(1, 0, it.Phase.RELEASED, 1.0)
-
-    def give(self, event: it.Event) -> list[it.Action]:
+        self.agent, self.now, self.last_request = Agent(config, seed), now, 100
+        self.actions: list[it.Action] = []
+        self.attempt_counts: dict[int, int] = {}
+        self.deliver(it.Started())
+        self.update_list(*[entry(i) for i in range(1, servers + 1)], kind=it.ListKind.CACHED)
+        self.update_stage(1, 0, it.Phase.RELEASED, 1.0)
+
+    def deliver(self, event: it.Event) -> list[it.Action]:
         actions = self.agent.handle(self.now, event)
-        self.all.extend(actions)
+        self.actions.extend(actions)
         return actions
 
-    def list(self, *entries: it.ServerEntry, kind: it.ListKind = it.ListKind.DELTA) -> list[it.Action]:
-        return self.give(it.ServerList(kind, 1, entries))
+    def update_list(self, *entries: it.ServerEntry, kind: it.ListKind = it.ListKind.DELTA) -> list[it.Action]:
+        return self.deliver(it.ServerList(kind, 1, entries))
 
-    def news(self, build: int, stage: int, phase: it.Phase, cap: float) -> list[it.Action]:
-        return self.give(it.StageNews(build, stage, phase, False, it.Status.OK, cap, 0.0))
+    def update_stage(self, build: int, stage: int, phase: it.Phase, cap: float) -> list[it.Action]:
+        return self.deliver(it.StageNews(build, stage, phase, False, it.Status.OK, cap, 0.0))
 
     def ask(
         self, cls: int = 0, budget: float = 2000.0, key: int = 0, tenant: int = 0
     ) -> tuple[int, list[it.Action]]:
-        self.ids += 1
-        return self.ids, self.give(it.Request(self.ids, cls, tenant, key, budget, 0.0, False, False, False))
+        self.last_request += 1
+        return self.last_request, self.deliver(
+            it.Request(self.last_request, cls, tenant, key, budget, 0.0, False, False, False)
+        )
 
     def end(
         self,
@@ -135,14 +137,14 @@
         latency: float = 100.0,
         over: bool | None = None,
     ) -> list[it.Action]:
-        leg = self.legs.get(send.request, 0)
-        self.legs[send.request] = leg + 1
+        leg = self.attempt_counts.get(send.request, 0)
+        self.attempt_counts[send.request] = leg + 1
         done = status is it.Status.OK if over is None else over
-        return self.give(it.Outcome(send.request, send.server, leg, status, latency, done, ()))
+        return self.deliver(it.Outcome(send.request, send.server, leg, status, latency, done, ()))
 
     def tick(self, ms: float = 50.0) -> list[it.Action]:
         self.now += ms
-        return self.give(it.TimerFired(0))
+        return self.deliver(it.TimerFired(0))
 
 
 def sends(actions: list[it.Action]) -> list[it.Send]:
--- a/tests/rulebook.py
+++ b/tests/rule_checker.py
@@ -42,17 +42,17 @@
 
     cls: int
     key: int
-    until: float
-    legs: list[Leg] = field(default_factory=list)
-    finals: int = 0
+    deadline: float
+    attempts: list[Leg] = field(default_factory=list)
+    final_answers: int = 0
 
 
-class Books:
+class RuleChecker:
     """Hand it each event before the agent gets it, each action after; it raises `Broken`."""
 
     def __init__(self, config: it.Settings) -> None:
         self.config = config
-        self.duties: dict[int, Duty] = {}
+        self.requests: dict[int, Duty] = {}
         self.listed: dict[int, it.ServerEntry] = {}
         self.away: dict[int, float] = {}  # server: since when it is told to drain or be gone
         self.sent: list[tuple[float, int, float]] = []  # when, server, its start
@@ -81,28 +81,28 @@
                         self.kept = {}
                     self.kept = {key: b for key, b in self.kept.items() if b >= build}
             case it.Request(request, cls, _, key, budget):
-                self.duties[request] = Duty(cls, key, now + budget)
+                self.requests[request] = Duty(cls, key, now + budget)
                 self.taken.append((now, cls))
             case it.Outcome(request, _, attempt, status, _, over, _):
-                duty = self.duties[request]
-                leg = duty.legs[attempt]
+                duty = self.requests[request]
+                leg = duty.attempts[attempt]
                 leg.status = status
-                duty.finals += over and not duty.finals
+                duty.final_answers += over and not duty.final_answers
                 if status is it.Status.OK and duty.key and leg.server.build >= self.caps[-1][1]:
                     self.kept[duty.key] = max(self.kept.get(duty.key, 0), leg.server.build)
             case it.Abandoned(request):
-                duty = self.duties[request]
-                duty.finals += not duty.finals
+                duty = self.requests[request]
+                duty.final_answers += not duty.final_answers
 
     # --- what it does ---
     def action(self, now: float, action: it.Action) -> None:
         match action:
             case it.Send(request, server, until):
-                self._send(now, self.duties[request], server, until)
+                self._send(now, self.requests[request], server, until)
             case it.Refuse(request) | it.Fail(request):
-                duty = self.duties[request]
-                duty.finals += 1
-                if duty.finals > 1:
+                duty = self.requests[request]
+                duty.final_answers += 1
+                if duty.final_answers > 1:
                     raise Broken(ANSWERED, f"{request} got a second final answer")
                 if isinstance(action, it.Refuse):
                     self._refused(duty)
@@ -110,14 +110,14 @@
     def _refused(self, duty: Duty) -> None:
         cls = self.config.classes[duty.cls]
         harmless = cls.effect is it.Effect.SAFE or (cls.effect is it.Effect.KEYED and cls.scope is it.Scope.ALL)
-        if not harmless and any(leg.status not in UNRUN for leg in duty.legs):
+        if not harmless and any(leg.status not in UNRUN for leg in duty.attempts):
             raise Broken(EFFECTS, "a refusal of what may have run")
 
     def _send(self, now: float, duty: Duty, server: int, until: float) -> None:
         config, entry = self.config, self.listed[server]
-        if duty.finals or now >= duty.until:
+        if duty.final_answers or now >= duty.deadline:
             raise Broken(ANSWERED, "a send for what is over")
-        if len(duty.legs) >= config.limits.max_attempts:
+        if len(duty.attempts) >= config.limits.max_attempts:
             raise Broken(ANSWERED, "more attempts than are allowed")
         self._effects(now, duty, entry)
         if server in self.away:
@@ -125,10 +125,10 @@
         self.sent.append((now, server, entry.started_ms))
         self._cold(now, entry)
         self._exposure(now, duty, entry)
-        duty.legs.append(Leg(entry, now, min(until, duty.until)))
+        duty.attempts.append(Leg(entry, now, min(until, duty.deadline)))
 
     def _effects(self, now: float, duty: Duty, entry: it.ServerEntry) -> None:
-        cls, ran = self.config.classes[duty.cls], [leg for leg in duty.legs if leg.status not in UNRUN]
+        cls, ran = self.config.classes[duty.cls], [leg for leg in duty.attempts if leg.status not in UNRUN]
         if not ran:
             return
         if cls.effect is it.Effect.UNSAFE:
@@ -181,6 +181,6 @@
     # --- time ---
     def at(self, now: float) -> None:
         """The clock has come this far: nothing may be owed beyond its time."""
-        for request, duty in self.duties.items():
-            if not duty.finals and now > duty.until + self.config.rules.answer_slack_ms:
+        for request, duty in self.requests.items():
+            if not duty.final_answers and now > duty.deadline + self.config.rules.answer_slack_ms:
                 raise Broken(ANSWERED, f"{request} got no final answer in its time")
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,73 +1,73 @@
 """The five rules at the one gate, by hand-written event sequences."""
 
 import pytest
-from helpers import Drive, entry, kinds, sends, settings
+from helpers import AgentDriver, entry, kinds, sends, settings
 
 from otterquay import interface as it
 
 
 def test_a_served_request_is_sent_once_and_forgotten() -> None:
-    drive = Drive()
-    request, actions = drive.ask()
+    driver = AgentDriver()
+    request, actions = driver.ask()
     (send,) = sends(actions)
-    assert kinds(drive.end(send)) == []
-    assert drive.give(it.Abandoned(request)) == []
+    assert kinds(driver.end(send)) == []
+    assert driver.deliver(it.Abandoned(request)) == []
 
 
 def test_unsafe_after_an_error_gets_a_failure_and_no_other_attempt() -> None:
-    drive = Drive()
-    _, actions = drive.ask(cls=2)
-    assert kinds(drive.end(sends(actions)[0], it.Status.ERROR)) == [it.Fail]
+    driver = AgentDriver()
+    _, actions = driver.ask(cls=2)
+    assert kinds(driver.end(sends(actions)[0], it.Status.ERROR)) == [it.Fail]
 
 
 @pytest.mark.parametrize("status", [it.Status.FULL, it.Status.CONNECT_FAILED])
 def test_unsafe_proved_unrun_goes_elsewhere(status: it.Status) -> None:
-    drive = Drive()
-    _, actions = drive.ask(cls=2)
+    driver = AgentDriver()
+    _, actions = driver.ask(cls=2)
     first = sends(actions)[0]
-    (again,) = sends(drive.end(first, status))
+    (again,) = sends(driver.end(first, status))
     assert again.server != first.server
 
 
 def test_unsafe_unrun_then_maybe_run_is_failed() -> None:
-    drive = Drive()
-    _, actions = drive.ask(cls=2)
-    (again,) = sends(drive.end(sends(actions)[0], it.Status.FULL))
-    assert kinds(drive.end(again, it.Status.RESET)) == [it.Fail]
+    driver = AgentDriver()
+    _, actions = driver.ask(cls=2)
+    (again,) = sends(driver.end(sends(actions)[0], it.Status.FULL))
+    assert kinds(driver.end(again, it.Status.RESET)) == [it.Fail]
 
 
 def test_time_out_at_the_deadline_is_answered_in_the_same_batch() -> None:
-    drive = Drive()
-    request, actions = drive.ask(cls=2, budget=700.0)
-    drive.now += 700.0
-    answer = drive.end(sends(actions)[0], it.Status.TIMEOUT, 700.0, over=False)
+    driver = AgentDriver()
+    request, actions = driver.ask(cls=2, budget=700.0)
+    driver.now += 700.0
+    answer = driver.end(sends(actions)[0], it.Status.TIMEOUT, 700.0, over=False)
     assert answer == [it.Fail(request)]
 
 
 def test_an_outcome_flagged_over_ends_the_duty() -> None:
-    drive = Drive()
-    _, actions = drive.ask()
-    assert kinds(drive.end(sends(actions)[0], it.Status.TIMEOUT, 900.0, over=True)) == []
+    driver = AgentDriver()
+    _, actions = driver.ask()
+    assert kinds(driver.end(sends(actions)[0], it.Status.TIMEOUT, 900.0, over=True)) == []
 
 
 def test_keyed_repeat_stays_in_its_zone() -> None:
-    drive = Drive(servers=0)
-    drive.list(entry(1, zone=0), entry(2, zone=1), entry(3, zone=0), entry(4, zone=1))
+    driver = AgentDriver(servers=0)
+    driver.update_list(entry(1, zone=0), entry(2, zone=1), entry(3, zone=0), entry(4, zone=1))
     zone = {1: 0, 2: 1, 3: 0, 4: 1}
     for _ in range(20):
-        _, actions = drive.ask(cls=1)
+        _, actions = driver.ask(cls=1)
         first = sends(actions)[0]
-        for again in sends(drive.end(first, it.Status.ERROR)):
+        for again in sends(driver.end(first, it.Status.ERROR)):
             assert zone[again.server] == zone[first.server]
-            drive.end(again)
-        drive.now += 500.0
+            driver.end(again)
+        driver.now += 500.0
 
 
 def test_keyed_is_not_repeated_after_its_window() -> None:
-    drive = Drive()
-    _, actions = drive.ask(cls=1, budget=3000.0)
-    drive.now += 2000.0
-    assert kinds(drive.end(sends(actions)[0], it.Status.ERROR, 2000.0)) == [it.Fail]
+    driver = AgentDriver()
+    _, actions = driver.ask(cls=1, budget=3000.0)
+    driver.now += 2000.0
+    assert kinds(driver.end(sends(actions)[0], it.Status.ERROR, 2000.0)) == [it.Fail]
 
 
 def test_keyed_in_another_cell_is_no_place_for_a_repeat() -> None:
@@ -84,239 +84,239 @@
         cell.late_worth,
         False,
     )
-    drive = Drive(settings(classes=(cell,)), servers=0)
-    drive.list(entry(1, cell=1), entry(2, cell=2))
+    driver = AgentDriver(settings(classes=(cell,)), servers=0)
+    driver.update_list(entry(1, cell=1), entry(2, cell=2))
     for _ in range(5):
-        _, actions = drive.ask()
+        _, actions = driver.ask()
         first = sends(actions)[0]
-        assert all(a.server == first.server for a in sends(drive.end(first, it.Status.ERROR)))
-        drive.now += 1000.0
+        assert all(a.server == first.server for a in sends(driver.end(first, it.Status.ERROR)))
+        driver.now += 1000.0
 
 
 def test_nothing_goes_to_a_server_that_drains_or_is_gone() -> None:
-    drive = Drive(servers=2)
-    drive.list(entry(1, state=it.ServerState.DRAINING))
-    assert {s.server for _ in range(10) for s in sends(drive.ask()[1])} == {2}
-    drive.list(entry(1), kind=it.ListKind.FULL)
-    assert {s.server for _ in range(10) for s in sends(drive.ask()[1])} <= {1}
+    driver = AgentDriver(servers=2)
+    driver.update_list(entry(1, state=it.ServerState.DRAINING))
+    assert {s.server for _ in range(10) for s in sends(driver.ask()[1])} == {2}
+    driver.update_list(entry(1), kind=it.ListKind.FULL)
+    assert {s.server for _ in range(10) for s in sends(driver.ask()[1])} <= {1}
 
 
 def test_with_no_server_a_request_is_refused_at_once_with_a_come_back_time() -> None:
-    drive = Drive(servers=0)
-    request, actions = drive.ask(budget=2000.0)
+    driver = AgentDriver(servers=0)
+    request, actions = driver.ask(budget=2000.0)
     assert actions == [it.Refuse(request, 400.0)]
 
 
 @pytest.mark.parametrize("budget", [0.0, 30.0, 60.0, 2000.0])
 def test_a_short_budget_is_answered_in_its_own_batch(budget: float) -> None:
     """Held requests were once looked at after a budget shorter than a tick had run out; now none is held."""
-    drive = Drive(servers=0)
-    assert kinds(drive.ask(budget=budget)[1]) == [it.Refuse]
+    driver = AgentDriver(servers=0)
+    assert kinds(driver.ask(budget=budget)[1]) == [it.Refuse]
 
 
 def test_attempts_at_a_trial_build_stay_within_the_cap() -> None:
-    drive = Drive(servers=2)
-    drive.news(2, 0, it.Phase.TRIAL, 0.14)
-    drive.list(entry(9, build=2))
+    driver = AgentDriver(servers=2)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
+    driver.update_list(entry(9, build=2))
     tried = 0
     for asked in range(1, 201):
-        drive.now += 10.0  # two seconds: within one window
-        for send in sends(drive.ask()[1]):
+        driver.now += 10.0  # two seconds: within one window
+        for send in sends(driver.ask()[1]):
             tried += send.server == 9
-            drive.end(send)
+            driver.end(send)
         assert tried <= 2 + 0.14 * asked
     assert tried > 0
 
 
 @pytest.mark.parametrize("phase", [it.Phase.TRIAL, it.Phase.GOING_BACK, it.Phase.WITHDRAWN])
 def test_cap_zero_means_nothing(phase: it.Phase) -> None:
-    drive = Drive(servers=0)
-    drive.list(entry(9, build=2))
-    drive.news(2, 0, phase, 0.0)
-    assert not sends(drive.ask()[1])
+    driver = AgentDriver(servers=0)
+    driver.update_list(entry(9, build=2))
+    driver.update_stage(2, 0, phase, 0.0)
+    assert not sends(driver.ask()[1])
 
 
 def test_a_build_not_yet_named_counts_as_stage_0() -> None:
-    drive = Drive(servers=0)
-    drive.list(entry(9, build=2))
-    assert len([s for _ in range(30) for s in sends(drive.ask()[1])]) <= 2 + 0.14 * 30
+    driver = AgentDriver(servers=0)
+    driver.update_list(entry(9, build=2))
+    assert len([s for _ in range(30) for s in sends(driver.ask()[1])]) <= 2 + 0.14 * 30
 
 
 def test_guarded_stages_take_safe_classes_only() -> None:
-    drive = Drive(settings(rollout={"guarded_stages": 1}), servers=0)
-    drive.list(entry(9, build=2))
-    drive.news(2, 0, it.Phase.TRIAL, 1.0)
-    assert not sends(drive.ask(cls=1)[1]) and not sends(drive.ask(cls=2)[1])
-    assert sends(drive.ask(cls=0)[1])
+    driver = AgentDriver(settings(rollout={"guarded_stages": 1}), servers=0)
+    driver.update_list(entry(9, build=2))
+    driver.update_stage(2, 0, it.Phase.TRIAL, 1.0)
+    assert not sends(driver.ask(cls=1)[1]) and not sends(driver.ask(cls=2)[1])
+    assert sends(driver.ask(cls=0)[1])
 
 
 def test_counting_by_class_gives_each_class_its_own_room() -> None:
-    drive = Drive(settings(rollout={"per_class": True}), servers=0)
-    drive.list(entry(9, build=2))
-    drive.news(2, 0, it.Phase.TRIAL, 0.01)
-    got = [sum(len(sends(drive.ask(cls=c)[1])) for _ in range(3)) for c in (0, 1)]
+    driver = AgentDriver(settings(rollout={"per_class": True}), servers=0)
+    driver.update_list(entry(9, build=2))
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.01)
+    got = [sum(len(sends(driver.ask(cls=c)[1])) for _ in range(3)) for c in (0, 1)]
     assert got == [2, 2]
 
 
 def test_one_way_keys_do_not_return() -> None:
-    drive = Drive(settings(rollout={"one_way": True}), servers=0)
-    drive.list(entry(9, build=2))
-    drive.news(2, 0, it.Phase.TRIAL, 1.0)
-    drive.end(sends(drive.ask(key=77)[1])[0])
-    drive.list(entry(1), entry(9, build=2, state=it.ServerState.GONE))
-    assert not sends(drive.ask(key=77)[1])
-    assert sends(drive.ask(key=78)[1])
-    drive.news(2, 0, it.Phase.GOING_BACK, 0.0)
-    assert sends(drive.ask(key=77)[1])
+    driver = AgentDriver(settings(rollout={"one_way": True}), servers=0)
+    driver.update_list(entry(9, build=2))
+    driver.update_stage(2, 0, it.Phase.TRIAL, 1.0)
+    driver.end(sends(driver.ask(key=77)[1])[0])
+    driver.update_list(entry(1), entry(9, build=2, state=it.ServerState.GONE))
+    assert not sends(driver.ask(key=77)[1])
+    assert sends(driver.ask(key=78)[1])
+    driver.update_stage(2, 0, it.Phase.GOING_BACK, 0.0)
+    assert sends(driver.ask(key=77)[1])
 
 
 def test_a_cold_server_gets_a_bounded_part_of_the_own_rate() -> None:
-    drive = Drive(servers=3)
-    drive.list(entry(4, started=drive.now))
+    driver = AgentDriver(servers=3)
+    driver.update_list(entry(4, started=driver.now))
     cold = 0
     for _ in range(100):
-        drive.now += 20.0
-        for send in sends(drive.ask()[1]):
+        driver.now += 20.0
+        for send in sends(driver.ask()[1]):
             cold += send.server == 4
-            drive.end(send)
+            driver.end(send)
     assert 0 < cold <= max(1.0, 0.85 * 3.0 * 0.4 * 100 / 4)
 
 
 def test_cold_servers_together_get_what_their_budgets_under_one_come_to() -> None:
     """Hundreds of agents with one attempt each for every cold server are what pushes all of them over."""
-    drive = Drive(servers=10)
+    driver = AgentDriver(servers=10)
     for _ in range(12):
-        drive.end(sends(drive.ask()[1])[0])
-    drive.list(*[entry(i, started=drive.now) for i in range(11, 31)])
-    cold = sum(send.server > 10 for _ in range(60) for send in sends(drive.ask()[1]))
+        driver.end(sends(driver.ask()[1])[0])
+    driver.update_list(*[entry(i, started=driver.now) for i in range(11, 31)])
+    cold = sum(send.server > 10 for _ in range(60) for send in sends(driver.ask()[1]))
     budget = 0.85 * 3.0 * 0.4 * 12 / 30
     assert budget < 0.5 and 0 < cold <= 20 * budget + 1 < 11
 
 
 def test_one_cold_server_among_warm_ones_may_be_tried_whatever_the_budget() -> None:
-    drive = Drive(servers=2)
-    drive.list(entry(3, started=drive.now))
-    assert sum(send.server == 3 for _ in range(20) for send in sends(drive.ask()[1])) == 1
+    driver = AgentDriver(servers=2)
+    driver.update_list(entry(3, started=driver.now))
+    assert sum(send.server == 3 for _ in range(20) for send in sends(driver.ask()[1])) == 1
 
 
 def test_attempts_that_never_ran_do_not_widen_a_cold_budget() -> None:
     """Servers that refuse connections bear nothing: a storm of attempts at them made all cold ones seem abler."""
-    drive = Drive(servers=6)
+    driver = AgentDriver(servers=6)
     served = 0
     for i in range(60):
-        for send in sends(drive.ask()[1]):
+        for send in sends(driver.ask()[1]):
             served += i % 10 == 0
-            drive.end(send, it.Status.OK if i % 10 == 0 else it.Status.CONNECT_FAILED, 1.0)
-    drive.list(entry(9, started=drive.now))
+            driver.end(send, it.Status.OK if i % 10 == 0 else it.Status.CONNECT_FAILED, 1.0)
+    driver.update_list(entry(9, started=driver.now))
     cold = 0
     for _ in range(40):
-        for send in sends(drive.ask()[1]):
+        for send in sends(driver.ask()[1]):
             cold += send.server == 9
     assert cold <= max(1.0, 0.85 * 3.0 * 0.4 * served / 7)
 
 
 def test_a_restart_under_the_same_id_is_cold_again() -> None:
-    drive = Drive(servers=3)
+    driver = AgentDriver(servers=3)
     for _ in range(9):
-        drive.end(sends(drive.ask()[1])[0])
-    drive.list(entry(1, started=drive.now))
-    hits = sum(send.server == 1 for _ in range(3) for send in sends(drive.ask()[1]))
+        driver.end(sends(driver.ask()[1])[0])
+    driver.update_list(entry(1, started=driver.now))
+    hits = sum(send.server == 1 for _ in range(3) for send in sends(driver.ask()[1]))
     assert hits <= max(1.0, 0.85 * 3.0 * 0.4 * 12 / 3)
     budget = int(0.85 * 3.0 * 0.4 * 40 / 3)
     for _ in range(28):
-        for send in sends(drive.ask()[1]):
+        for send in sends(driver.ask()[1]):
             hits += send.server == 1
-            drive.end(send)
+            driver.end(send)
     assert hits <= budget
 
 
 def test_no_two_attempts_at_once_where_copies_are_not_allowed() -> None:
-    drive = Drive()
-    request, actions = drive.ask()
+    driver = AgentDriver()
+    request, actions = driver.ask()
     assert len(sends(actions)) == 1
     for _ in range(15):
-        assert not sends(drive.tick())
+        assert not sends(driver.tick())
 
 
 def test_attempts_stop_at_the_limit() -> None:
-    drive = Drive(settings(limits={"max_attempts": 2}), servers=6)
-    _, actions = drive.ask()
-    (again,) = sends(drive.end(sends(actions)[0], it.Status.FULL))
-    assert kinds(drive.end(again, it.Status.FULL)) == [it.Refuse]
+    driver = AgentDriver(settings(limits={"max_attempts": 2}), servers=6)
+    _, actions = driver.ask()
+    (again,) = sends(driver.end(sends(actions)[0], it.Status.FULL))
+    assert kinds(driver.end(again, it.Status.FULL)) == [it.Refuse]
 
 
 def test_retries_are_a_bounded_part_of_first_sends() -> None:
     """Full queues everywhere must not be answered with a storm of retries."""
-    drive = Drive(servers=8)
+    driver = AgentDriver(servers=8)
     attempts, requests = 0, 200
     for _ in range(requests):
-        drive.now += 100.0
-        todo = sends(drive.ask()[1])
+        driver.now += 100.0
+        todo = sends(driver.ask()[1])
         while todo:
             attempts += 1
-            todo = sends(drive.end(todo.pop(), it.Status.FULL, 1.0))
+            todo = sends(driver.end(todo.pop(), it.Status.FULL, 1.0))
     assert attempts <= 1.2 * requests + 11
 
 
 def test_same_events_and_seed_give_same_actions() -> None:
     def run() -> list[it.Action]:
-        drive = Drive(seed=5)
+        driver = AgentDriver(seed=5)
         for i in range(200):
-            drive.now += 20.0
-            for send in sends(drive.ask(cls=i % 3)[1]):
-                drive.end(send, it.Status.ERROR if i % 7 == 0 else it.Status.OK, 50.0 + i)
-            drive.give(it.TimerFired(0))
-        return drive.all
+            driver.now += 20.0
+            for send in sends(driver.ask(cls=i % 3)[1]):
+                driver.end(send, it.Status.ERROR if i % 7 == 0 else it.Status.OK, 50.0 + i)
+            driver.deliver(it.TimerFired(0))
+        return driver.actions
 
     assert run() == run()
 
 
 def test_requests_that_were_refused_do_not_widen_a_cold_budget() -> None:
     """A burst of clients asking again raised the own rate without making the cold server any abler."""
-    drive = Drive(servers=2)
-    drive.list(entry(4, started=drive.now))
+    driver = AgentDriver(servers=2)
+    driver.update_list(entry(4, started=driver.now))
     sent, cold = 0, 0
     for _ in range(60):
-        drive.now += 30.0
+        driver.now += 30.0
         for _ in range(10):
-            assert not sends(drive.ask(budget=0.0)[1])
-        for send in sends(drive.ask()[1]):
+            assert not sends(driver.ask(budget=0.0)[1])
+        for send in sends(driver.ask()[1]):
             sent += 1
             cold += send.server == 4
             if send.server == 4:  # the others are busy, so the choice leans to the cold one
-                drive.end(send)
+                driver.end(send)
     assert cold <= max(1.0, 0.85 * 3.0 * 0.4 * (sent + 1) / 3)
 
 
 def test_attempts_of_before_a_restart_count_against_the_cap_and_fade_with_the_window() -> None:
     def trial_sends(restored: bool) -> int:
-        drive = Drive(settings(rollout={"free": 3.0, "stage_cap": (0.1, 1.0)}), servers=0)
+        driver = AgentDriver(settings(rollout={"free": 3.0, "stage_cap": (0.1, 1.0)}), servers=0)
         if restored:
-            drive.give(it.Restored(tuple((2, 0, drive.now - 100.0 * i) for i in range(3, 0, -1)), ()))
-        drive.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
-        drive.list(entry(1, build=2))
-        return sum(len(sends(drive.ask()[1])) for _ in range(4))
+            driver.deliver(it.Restored(tuple((2, 0, driver.now - 100.0 * i) for i in range(3, 0, -1)), ()))
+        driver.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
+        driver.update_list(entry(1, build=2))
+        return sum(len(sends(driver.ask()[1])) for _ in range(4))
 
     assert trial_sends(False) == 3 and trial_sends(True) == 0
 
 
 def test_a_key_answered_before_a_restart_goes_to_no_earlier_build_until_the_build_goes_back() -> None:
-    drive = Drive(settings(rollout={"one_way": True, "stage_cap": (1.0, 1.0)}), servers=0)
-    drive.give(it.Restored((), ((77, 2),)))
-    drive.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 1.0, 0.0))
-    drive.list(entry(1, build=1))
-    assert sends(drive.ask(cls=1, key=77)[1]) == [] and sends(drive.ask(cls=1, key=78)[1])
-    drive.give(it.StageNews(2, 0, it.Phase.GOING_BACK, False, it.Status.OK, 0.0, 0.0))
-    assert sends(drive.ask(cls=1, key=77)[1])
+    driver = AgentDriver(settings(rollout={"one_way": True, "stage_cap": (1.0, 1.0)}), servers=0)
+    driver.deliver(it.Restored((), ((77, 2),)))
+    driver.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 1.0, 0.0))
+    driver.update_list(entry(1, build=1))
+    assert sends(driver.ask(cls=1, key=77)[1]) == [] and sends(driver.ask(cls=1, key=78)[1])
+    driver.deliver(it.StageNews(2, 0, it.Phase.GOING_BACK, False, it.Status.OK, 0.0, 0.0))
+    assert sends(driver.ask(cls=1, key=77)[1])
 
 
 def test_what_a_store_says_is_settled_is_served_and_does_not_end_the_wait_before_a_vote() -> None:
-    drive = Drive()
-    drive.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")))
-    assert drive.agent._cap(1) is None and drive.agent._cap(2) == drive.agent.rollout.stage_cap[0]
-    drive.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
-    assert drive.agent.settle_until > drive.now
-    heard = Drive()
-    heard.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 5.0))
-    heard.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
+    driver = AgentDriver()
+    driver.deliver(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")))
+    assert driver.agent._cap(1) is None and driver.agent._cap(2) == driver.agent.rollout.stage_cap[0]
+    driver.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
+    assert driver.agent.settle_until > driver.now
+    heard = AgentDriver()
+    heard.deliver(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 5.0))
+    heard.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
     assert heard.agent.settle_until == 0.0
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""The five rules over random days, judged by the books of `rulebook`."""
+"""The five rules over random days, judged by the books of `rule_checker`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from rulebook import Books
+from rule_checker import RuleChecker
 
 from otterquay import interface as it
 from otterquay.policy.agent import Agent
@@ -18,7 +18,7 @@
     """Plays clients, servers, list and platform; the books judge every action."""
 
     def __init__(self, config: it.Settings, seed: int) -> None:
-        self.config, self.rng, self.books = config, random.Random(seed), Books(config)
+        self.config, self.rng, self.checker = config, random.Random(seed), RuleChecker(config)
         self.agent, self.now, self.ids = Agent(config, seed), 1e6, 0
         self.waiting: list[tuple[float, int, int]] = []
         self.build, self.fresh_id = 1, 50
@@ -27,11 +27,11 @@
         self.tell(1, 0, it.Phase.RELEASED, 1.0)
 
     def give(self, event: it.Event) -> None:
-        self.books.event(self.now, event)
+        self.checker.event(self.now, event)
         for action in self.agent.handle(self.now, event):
-            self.books.action(self.now, action)
+            self.checker.action(self.now, action)
             if isinstance(action, it.Send):
-                leg = len(self.books.duties[action.request].legs) - 1
+                leg = len(self.checker.requests[action.request].attempts) - 1
                 self.waiting.append((self.now + self.rng.expovariate(1 / 300.0), action.request, leg))
 
     def show(self, *entries: it.ServerEntry, kind: it.ListKind = it.ListKind.DELTA) -> None:
@@ -53,8 +53,8 @@
             self.ask()
         for due in sorted(self.waiting):
             at, request, number = due
-            duty = self.books.duties[request]
-            leg = duty.legs[number]
+            duty = self.checker.requests[request]
+            leg = duty.attempts[number]
             if min(at, leg.until) > self.now:
                 continue
             self.waiting.remove(due)
@@ -62,18 +62,18 @@
             status = it.Status.OK if self.rng.random() > bad else self.rng.choice(statuses)
             if leg.until <= at:
                 status = it.Status.TIMEOUT
-            over = bool(duty.finals) or status is it.Status.OK
+            over = bool(duty.final_answers) or status is it.Status.OK
             self.give(it.Outcome(request, leg.server.server, number, status, self.now - leg.at, over, ()))
         if self.now % 50.0 == 0.0:
             self.give(it.TimerFired(0))
-        self.books.at(self.now)
+        self.checker.at(self.now)
         if self.rng.random() < 0.01:
             self.world()
 
     def world(self) -> None:
         """A server drains, restarts or comes, or the platform changes its mind."""
-        pick, (_, newest, *_) = self.rng.randrange(6), self.books.caps[-1]
-        some = self.rng.choice(list(self.books.listed.values()))
+        pick, (_, newest, *_) = self.rng.randrange(6), self.checker.caps[-1]
+        some = self.rng.choice(list(self.checker.listed.values()))
         if pick == 0:
             self.show(entry(some.server, some.build, some.zone, state=self.rng.choice(list(it.ServerState))))
         elif pick == 1:
@@ -110,4 +110,4 @@
     day = Watcher(config, seed)
     for _ in range(800):
         day.step(bad)
-    assert any(duty.legs for duty in day.books.duties.values())
+    assert any(duty.attempts for duty in day.checker.requests.values())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -14,9 +14,9 @@
 
 import msgspec
 import pytest
-from helpers import Drive, entry, sends, settings
+from helpers import AgentDriver, entry, sends, settings
 from rig import Rig, kind, raw, run, service
-from rulebook import Books
+from rule_checker import RuleChecker
 from test_chat_hub import Desk
 from test_votes import good, offered, play
 
@@ -43,54 +43,58 @@
 
 
 # --- the module over days ---
-class Days(Drive):
+class Days(AgentDriver):
     """An agent whose requests all have keys of their own, judged by the rules' books."""
 
     def __init__(self, config: it.Settings) -> None:
-        self.books = Books(config)
+        self.checker = RuleChecker(config)
         super().__init__(config, servers=0)
 
-    def give(self, event: it.Event) -> list[it.Action]:
-        self.books.event(self.now, event)
-        actions = super().give(event)
+    def deliver(self, event: it.Event) -> list[it.Action]:
+        self.checker.event(self.now, event)
+        actions = super().deliver(event)
         for action in actions:
-            self.books.action(self.now, action)
-        self.all = [a for a in self.all if isinstance(a, it.CastVote)] + actions
-        self.books.duties = {k: d for k, d in self.books.duties.items() if not d.finals or d.until > self.now - 9e3}
-        self.legs = {k: n for k, n in self.legs.items() if k in self.books.duties}
+            self.checker.action(self.now, action)
+        self.actions = [a for a in self.actions if isinstance(a, it.CastVote)] + actions
+        self.checker.requests = {
+            k: d for k, d in self.checker.requests.items() if not d.final_answers or d.deadline > self.now - 9e3
+        }
+        self.attempt_counts = {k: n for k, n in self.attempt_counts.items() if k in self.checker.requests}
         return actions
 
     def ask(self, cls: int = 0, budget: float = 2000.0, key: int = 0, tenant: int = 0) -> Any:
-        return super().ask(cls, budget, key or self.ids + 1000, self.ids % 2)
+        return super().ask(cls, budget, key or self.last_request + 1000, self.last_request % 2)
 
     def settle(self) -> None:
         """Answer all that is out."""
         while out := [
             (r, i, leg)
-            for r, duty in self.books.duties.items()
-            for i, leg in enumerate(duty.legs)
+            for r, duty in self.checker.requests.items()
+            for i, leg in enumerate(duty.attempts)
             if leg.status is None
         ]:
             for request, i, leg in out:
-                self.give(it.Outcome(request, leg.server.server, i, it.Status.OK, 100.0, True, ()))
+                self.deliver(it.Outcome(request, leg.server.server, i, it.Status.OK, 100.0, True, ()))
 
     def fleet(self, build: int, state: it.ServerState = it.ServerState.READY, cold: bool = True) -> None:
-        self.list(*[entry(100 * build + i, build, i % 2, self.now if cold else 1.0, state) for i in range(4)])
+        self.update_list(
+            *[entry(100 * build + i, build, i % 2, self.now if cold else 1.0, state) for i in range(4)]
+        )
 
 
 def release(days: Days, build: int) -> set[it.Verdict]:
     """Half a day after the last one: a build comes on servers of its own, is released, the earlier ones leave."""
     days.now += HALF_DAY
     days.tick()
-    days.news(build, 0, it.Phase.TRIAL, 0.14)
+    days.update_stage(build, 0, it.Phase.TRIAL, 0.14)
     days.fleet(build)
     votes = play(days, good, 12.0, rate=40.0)
-    days.news(build, 1, it.Phase.TRIAL, 1.0)
+    days.update_stage(build, 1, it.Phase.TRIAL, 1.0)
     votes += play(days, good, 12.0, rate=40.0)
-    days.news(build, 1, it.Phase.RELEASED, 1.0)
+    days.update_stage(build, 1, it.Phase.RELEASED, 1.0)
     days.fleet(build - 1, it.ServerState.GONE)
     for tally in range(3):
-        days.give(it.Tally(build, tally, 50, 1, 100.0, 300.0))
+        days.deliver(it.Tally(build, tally, 50, 1, 100.0, 300.0))
     play(days, good, 65.0, rate=20.0)
     days.settle()
     return {v.verdict for v in votes}
@@ -112,7 +116,7 @@
     keys_at_most(300, monkeypatch)
     tenants = (it.Tenant("a", 10.0, 0.5), it.Tenant("b", 10.0, 0.5))
     days = Days(settings(tenants=tenants, rollout={"one_way": True, "tally_ms": 1000.0}))
-    days.news(1, 1, it.Phase.RELEASED, 1.0)
+    days.update_stage(1, 1, it.Phase.RELEASED, 1.0)
     days.fleet(1, cold=False)
     play(days, good, 10.0, rate=40.0)
     days.settle()
@@ -131,17 +135,17 @@
         assert sum(map(len, lists)) < 1000
     assert max(sizes[3:]) <= 1.1 * max(sizes[:3]), sizes
     assert all(it.Verdict.ON in v and it.Verdict.BACK not in v for v in verdicts), "a good build, each time"
-    days.news(9, 0, it.Phase.TRIAL, 0.14)
-    days.list(entry(20, 9, started=days.now))
+    days.update_stage(9, 0, it.Phase.TRIAL, 0.14)
+    days.update_list(entry(20, 9, started=days.now))
     assert {v.verdict for v in play(days, newest_fails, 30.0)} == {it.Verdict.BACK}
 
 
 def test_attempts_are_remembered_no_longer_than_a_rule_asks_for_them() -> None:
     """Released builds' attempts and each server's were never let go: one entry a send for ever."""
-    drive, sizes = Drive(servers=4), list[int]()
+    driver, sizes = AgentDriver(servers=4), list[int]()
     for _ in range(4):
-        play(drive, good, 10.0, rate=100.0)
-        agent = drive.agent
+        play(driver, good, 10.0, rate=100.0)
+        agent = driver.agent
         sizes.append(
             sum(map(len, agent.attempt_times.values()))
             + len(agent.success_times)
@@ -152,79 +156,79 @@
 
 
 def test_a_server_that_left_is_forgotten_but_not_while_it_must_be_remembered() -> None:
-    drive = Drive(servers=2)
-    drive.list(entry(1, state=it.ServerState.GONE))
-    (send,) = sends(drive.ask(budget=3000.0)[1])
-    drive.list(entry(2, state=it.ServerState.GONE))
-    drive.tick(FORGET_SERVER_MS - 1000.0)
-    assert set(drive.agent.servers) == {1, 2}, "complaints and restarts are still told apart"
-    drive.tick(2000.0)
-    assert set(drive.agent.servers) == {send.server}, "one with an attempt out stays"
-    drive.end(send)
-    drive.tick(500.0)
-    assert not drive.agent.servers
+    driver = AgentDriver(servers=2)
+    driver.update_list(entry(1, state=it.ServerState.GONE))
+    (send,) = sends(driver.ask(budget=3000.0)[1])
+    driver.update_list(entry(2, state=it.ServerState.GONE))
+    driver.tick(FORGET_SERVER_MS - 1000.0)
+    assert set(driver.agent.servers) == {1, 2}, "complaints and restarts are still told apart"
+    driver.tick(2000.0)
+    assert set(driver.agent.servers) == {send.server}, "one with an attempt out stays"
+    driver.end(send)
+    driver.tick(500.0)
+    assert not driver.agent.servers
     for i in range(2000):
-        drive.list(entry(i, state=it.ServerState.GONE))
-    drive.tick(FORGET_SERVER_MS + 1000.0)
-    assert not drive.agent.servers
+        driver.update_list(entry(i, state=it.ServerState.GONE))
+    driver.tick(FORGET_SERVER_MS + 1000.0)
+    assert not driver.agent.servers
 
 
 @pytest.mark.parametrize("phase", [it.Phase.TRIAL, it.Phase.RELEASED])
 def test_keys_at_their_bound_forbid_more_never_less(phase: it.Phase, monkeypatch: pytest.MonkeyPatch) -> None:
     keys_at_most(10, monkeypatch)
-    drive = Drive(settings(rollout={"one_way": True}), servers=0)
-    drive.news(2, 1, it.Phase.TRIAL, 1.0)
-    drive.news(2, 1, phase, 1.0)
-    drive.list(entry(9, build=2))
+    driver = AgentDriver(settings(rollout={"one_way": True}), servers=0)
+    driver.update_stage(2, 1, it.Phase.TRIAL, 1.0)
+    driver.update_stage(2, 1, phase, 1.0)
+    driver.update_list(entry(9, build=2))
     served = list[int]()
     for key in range(1, 31):
-        drive.now += 500.0
-        for send in sends(drive.ask(key=key)[1]):
-            drive.end(send)
+        driver.now += 500.0
+        for send in sends(driver.ask(key=key)[1]):
+            driver.end(send)
             served.append(key)
-    assert len(drive.agent.key_builds) <= 11
+    assert len(driver.agent.key_builds) <= 11
     assert len(served) == (10 if phase is it.Phase.TRIAL else 30), "on trial, what cannot be kept is not sent there"
-    drive.list(entry(9, build=2, state=it.ServerState.GONE), entry(1, build=1))
-    assert not any(sends(drive.ask(key=key)[1]) for key in served), "all of them are still known or covered"
-    assert sends(drive.ask(key=99)[1]) if phase is it.Phase.TRIAL else not sends(drive.ask(key=99)[1])
-    assert sends(drive.ask()[1]), "what has no key is bound to nothing"
-    drive.news(2, 1, it.Phase.GOING_BACK, 0.0)
+    driver.update_list(entry(9, build=2, state=it.ServerState.GONE), entry(1, build=1))
+    assert not any(sends(driver.ask(key=key)[1]) for key in served), "all of them are still known or covered"
+    assert sends(driver.ask(key=99)[1]) if phase is it.Phase.TRIAL else not sends(driver.ask(key=99)[1])
+    assert sends(driver.ask()[1]), "what has no key is bound to nothing"
+    driver.update_stage(2, 1, it.Phase.GOING_BACK, 0.0)
     for key in (*served[:3], 99):
-        (send,) = sends(drive.ask(key=key)[1])
-        drive.end(send)
+        (send,) = sends(driver.ask(key=key)[1])
+        driver.end(send)
 
 
 def test_keys_of_a_released_build_become_one_floor_and_those_of_one_taken_off_are_free() -> None:
     for phase, bound in ((it.Phase.RELEASED, True), (it.Phase.TRIAL, False)):
-        drive = Drive(settings(rollout={"one_way": True}), servers=0)
-        drive.news(2, 1, it.Phase.TRIAL, 1.0)
-        drive.list(entry(9, build=2))
-        drive.end(sends(drive.ask(key=5)[1])[0])
-        drive.news(2, 1, phase, 1.0)
-        drive.news(3, 0, it.Phase.TRIAL, 0.14)
-        drive.list(entry(9, build=2, state=it.ServerState.GONE), entry(1, build=1))
-        assert not drive.agent.key_builds and bool(sends(drive.ask(key=5)[1])) is not bound
+        driver = AgentDriver(settings(rollout={"one_way": True}), servers=0)
+        driver.update_stage(2, 1, it.Phase.TRIAL, 1.0)
+        driver.update_list(entry(9, build=2))
+        driver.end(sends(driver.ask(key=5)[1])[0])
+        driver.update_stage(2, 1, phase, 1.0)
+        driver.update_stage(3, 0, it.Phase.TRIAL, 0.14)
+        driver.update_list(entry(9, build=2, state=it.ServerState.GONE), entry(1, build=1))
+        assert not driver.agent.key_builds and bool(sends(driver.ask(key=5)[1])) is not bound
 
 
 def test_a_timer_that_fires_a_hair_early_is_not_the_last() -> None:
     """The module set no further timer, and never judged, closed a bin or healed a server again."""
-    drive = Drive()
-    drive.tick(500.0)
-    drive.now = drive.agent.next_bin_at - 1e-7
-    assert any(isinstance(a, it.SetTimer) for a in drive.give(it.TimerFired(0)))
-    bins = drive.agent.bin_count
-    assert not drive.tick(0.0) and drive.agent.bin_count == bins, "and it counts once"
+    driver = AgentDriver()
+    driver.tick(500.0)
+    driver.now = driver.agent.next_bin_at - 1e-7
+    assert any(isinstance(a, it.SetTimer) for a in driver.deliver(it.TimerFired(0)))
+    bins = driver.agent.bin_count
+    assert not driver.tick(0.0) and driver.agent.bin_count == bins, "and it counts once"
 
 
 def test_times_and_builds_after_years_are_as_exact_as_at_first() -> None:
     for now in (0.0, 1e6, 1e12):
-        drive = Drive(servers=4, now=now)
-        drive.news(65534, 1, it.Phase.RELEASED, 1.0)
-        drive.list(*[entry(2**32 - 1 - i, 65534) for i in range(4)], kind=it.ListKind.FULL)
-        play(drive, good, 8.0)
-        drive.news(65535, 0, it.Phase.TRIAL, 0.14)
-        drive.list(entry(20, 65535, started=drive.now))
-        assert {v.verdict for v in play(drive, good, 20.0)} == {it.Verdict.ON}, now
+        driver = AgentDriver(servers=4, now=now)
+        driver.update_stage(65534, 1, it.Phase.RELEASED, 1.0)
+        driver.update_list(*[entry(2**32 - 1 - i, 65534) for i in range(4)], kind=it.ListKind.FULL)
+        play(driver, good, 8.0)
+        driver.update_stage(65535, 0, it.Phase.TRIAL, 0.14)
+        driver.update_list(entry(20, 65535, started=driver.now))
+        assert {v.verdict for v in play(driver, good, 20.0)} == {it.Verdict.ON}, now
 
 
 # --- the cost of a verdict ---
@@ -249,12 +253,12 @@
 
 
 def test_a_note_of_huge_counts_and_a_tally_of_millions_hold_nobody_up() -> None:
-    drive = offered(config=settings(agents=2, limits={"peers": True}))
+    driver = offered(config=settings(agents=2, limits={"peers": True}))
     row = [1e38, 1e37, 1e38, 1.0] * 4
-    drive.give(it.PeerMessage(1, NOTE_HEADER.pack(1, 2, 3) + struct.pack("<16f", *row)))
-    drive.give(it.Tally(2, 0, 2**32 - 1, 2**31, 100.0, 10.0))
-    play(drive, good, 2.0)
-    assert drive.agent.bin_count > 0
+    driver.deliver(it.PeerMessage(1, NOTE_HEADER.pack(1, 2, 3) + struct.pack("<16f", *row)))
+    driver.deliver(it.Tally(2, 0, 2**32 - 1, 2**31, 100.0, 10.0))
+    play(driver, good, 2.0)
+    assert driver.agent.bin_count > 0
 
 
 # --- list and desk ---
@@ -528,12 +532,12 @@
         assert [(int.from_bytes(k), int(v)) for k, v in store.scan("answered")] == [(0, 2)]
         again = keeper.Keeper(store, 4000.0, silent())
         _, events = again.recall(1e6)
-        drive = Drive(settings(rollout={"one_way": True}), servers=0)
+        driver = AgentDriver(settings(rollout={"one_way": True}), servers=0)
         for event in events:
-            drive.give(event)
-        drive.news(2, 0, it.Phase.RELEASED, 1.0)
-        drive.list(entry(1, build=1))
-        assert not sends(drive.ask(key=3)[1]) and not sends(drive.ask(key=77)[1]) and sends(drive.ask()[1])
+            driver.deliver(event)
+        driver.update_stage(2, 0, it.Phase.RELEASED, 1.0)
+        driver.update_list(entry(1, build=1))
+        assert not sends(driver.ask(key=3)[1]) and not sends(driver.ask(key=77)[1]) and sends(driver.ask()[1])
         stage(it.Phase.TRIAL, build=3)
         await settle()
         assert not list(store.scan("answered"))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,7 +1,8 @@
 """All orders of a few events on a tiny fleet: the real module behind the real books of list and desk.
 
-Each set of events is played in every order, depth first from copies of the state; after each event the books of
-`rulebook` judge every action, and at the end time runs out and all that was taken must have had one final answer.
+Each set of events is played in every order, depth first from copies of the state; after each event the checker of
+`rule_checker` judges every action, and at the end time runs out and all that was taken must have had one final
+answer.
 What an event does depends on the state it meets: "answer" ends the oldest attempt that is out, if there is one.
 """
 
@@ -17,7 +18,7 @@
 from blake3 import blake3
 from helpers import settings
 from rig import Rig, kind, service
-from rulebook import RULES, Books, Broken
+from rule_checker import RULES, Broken, RuleChecker
 from test_auditor import AllAreSafe, NeverCold, NeverDrains, NoCap, NoFinalAnswers
 
 from otterquay import interface as it
@@ -41,7 +42,7 @@
 
     def __init__(self, config: it.Settings, make: type[policy.Agent], seed: int, now: float) -> None:
         self.config, self.make, self.seed = config, make, seed
-        self.books, self.desk_number, self.version, self.ids = Books(config), 0, 0, 0
+        self.checker, self.desk_number, self.version, self.ids = RuleChecker(config), 0, 0, 0
         self.entries: dict[int, news.Entry] = {}
         self.begin(now)
 
@@ -57,17 +58,17 @@
     def give(self, now: float, event: it.Event | None) -> None:
         if event is None:  # heard before
             return
-        self.books.event(now, event)
+        self.checker.event(now, event)
         for action in self.agent.handle(now, event):
-            self.books.action(now, action)
+            self.checker.action(now, action)
             if isinstance(action, it.Send):
-                leg = len(self.books.duties[action.request].legs) - 1
-                until = min(action.until_ms, self.books.duties[action.request].until)
+                leg = len(self.checker.requests[action.request].attempts) - 1
+                until = min(action.until_ms, self.checker.requests[action.request].deadline)
                 self.out.append((action.request, leg, action.server, now, until))
 
     def end(self, now: float, at: int, status: it.Status) -> None:
         request, leg, server, sent, _ = self.out.pop(at)
-        over = bool(self.books.duties[request].finals) or status is it.Status.OK
+        over = bool(self.checker.requests[request].final_answers) or status is it.Status.OK
         self.give(now, it.Outcome(request, server, leg, status, max(now - sent, 1.0), over, ()))
 
     def list(self, now: float, *changed: news.Entry, base: int | None = -1, version: int | None = None) -> None:
@@ -106,7 +107,7 @@
         for one in self.agents:
             getattr(self, name)(one)
         for one in self.agents:
-            one.books.at(self.now)
+            one.checker.at(self.now)
 
     # --- clients ---
     def _ask(self, one: Agent, cls: int, key: int = 0, budget: float = 1500.0) -> None:
@@ -127,7 +128,7 @@
         self._ask(one, 2, 8)
 
     def client_gone(self, one: Agent) -> None:
-        owed = [r for r, duty in one.books.duties.items() if not duty.finals]
+        owed = [r for r, duty in one.checker.requests.items() if not duty.final_answers]
         if owed:
             one.give(self.now, it.Abandoned(owed[0]))
 
@@ -213,23 +214,23 @@
     # --- the agent itself ---
     def killed(self, one: Agent, kept: bool = False) -> None:
         """Started anew; what its store kept is taken from the judge's books, which go on where it kept it."""
-        books = one.books
-        for duty in books.duties.values():
-            duty.finals = duty.finals or 1  # its clients see the connection end
+        checker = one.checker
+        for duty in checker.requests.values():
+            duty.final_answers = duty.final_answers or 1  # its clients see the connection end
         if not kept:
-            one.books = Books(one.config)
+            one.checker = RuleChecker(one.config)
         one.begin(self.now)
         if kept:
-            newest = books.caps[-1][1]
+            newest = checker.caps[-1][1]
             one.agent.handle(
                 self.now,
                 it.StageNews(max(newest - 1, 0), 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")),
             )
-            tried = tuple((build, cls, at) for at, build, cls in books.tried)
-            one.give(self.now, it.Restored(tried, tuple(books.kept.items())))
+            tried = tuple((build, cls, at) for at, build, cls in checker.tried)
+            one.give(self.now, it.Restored(tried, tuple(checker.kept.items())))
         one.list(self.now, base=None)
-        if books.caps[-1][1]:
-            _, build, stage, phase, cap = books.caps[-1]
+        if checker.caps[-1][1]:
+            _, build, stage, phase, cap = checker.caps[-1]
             one.stage(self.now, build, stage, phase.name.lower(), cap)
 
     def killed_with_store(self, one: Agent) -> None:
@@ -239,7 +240,7 @@
         for _ in range(2):
             self.play("long")
         for one in self.agents:
-            owed = [r for r, duty in one.books.duties.items() if duty.finals != 1]
+            owed = [r for r, duty in one.checker.requests.items() if duty.final_answers != 1]
             if owed or one.out or one.agent.pending_requests or one.agent.in_flight:
                 raise Broken("answered", f"{owed} without one final answer")
 
--- a/tests/test_replaced.py
+++ b/tests/test_replaced.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from helpers import Drive, entry, sends, settings
+from helpers import AgentDriver, entry, sends, settings
 from rig import Rig, kind, right, run, service
 
 from otterquay import interface as it
@@ -29,99 +29,99 @@
 }
 
 
-def worn() -> Drive:
+def worn() -> AgentDriver:
     """An agent with one server of which it has learnt much, all of it bad, and an attempt out."""
-    drive = Drive(settings(report_fields=(it.LoadField.INFLIGHT,), reports_in_answers=True), servers=1)
-    drive.agent.load_index = 0
+    driver = AgentDriver(settings(report_fields=(it.LoadField.INFLIGHT,), reports_in_answers=True), servers=1)
+    driver.agent.load_index = 0
     for _ in range(6):
-        drive.tick(500.0)
-        drive.now += 10.0  # what comes in the turn in which it is woken late is not booked
-        for send in sends(drive.ask()[1]):
-            drive.give(it.Outcome(send.request, 1, 0, it.Status.ERROR, 900.0, True, (50.0,)))
-    drive.ask(budget=3000.0)
-    return drive
+        driver.tick(500.0)
+        driver.now += 10.0  # what comes in the turn in which it is woken late is not booked
+        for send in sends(driver.ask()[1]):
+            driver.deliver(it.Outcome(send.request, 1, 0, it.Status.ERROR, 900.0, True, (50.0,)))
+    driver.ask(budget=3000.0)
+    return driver
 
 
 @pytest.mark.parametrize("how", [FULL, DELTA, CACHED])
 @pytest.mark.parametrize("what", REPLACED)
 def test_nothing_learnt_of_the_old_server_counts_for_the_new_one(what: str, how: it.ListKind) -> None:
-    drive = worn()
-    drive.now += 10.0
-    old = drive.agent.servers[1]
+    driver = worn()
+    driver.now += 10.0
+    old = driver.agent.servers[1]
     assert old.health < 0.7 and old.series and old.open_attempts and old.load == 50.0 and old.send_times
-    drive.list(REPLACED[what], kind=how)
-    fresh = drive.agent.servers[1]
+    driver.update_list(REPLACED[what], kind=how)
+    fresh = driver.agent.servers[1]
     assert fresh is not old and (fresh.health, fresh.slowness, fresh.load, fresh.errors) == (1.0, 1.0, 0.0, 0)
     assert (
         not (fresh.open_attempts or fresh.send_times or fresh.series or fresh.bin_latencies)
         and fresh.connected_at == -math.inf
     )
 
-    (send,) = (a for a in drive.all if isinstance(a, it.Send) and a.request == drive.ids)
-    drive.give(it.Outcome(send.request, 1, 0, it.Status.ERROR, 800.0, True, (60.0,)))
-    drive.tick(500.0)
+    (send,) = (a for a in driver.actions if isinstance(a, it.Send) and a.request == driver.last_request)
+    driver.deliver(it.Outcome(send.request, 1, 0, it.Status.ERROR, 800.0, True, (60.0,)))
+    driver.tick(500.0)
     assert not fresh.series and fresh.health == 1.0 and fresh.load == 0.0, "the old one's end is the old one's"
 
 
 def test_what_was_sent_since_a_start_that_is_told_late_counts_against_it() -> None:
-    drive = Drive(servers=1)
-    drive.now += 1000.0
-    early = sends(drive.ask()[1])[0]
-    drive.now += 500.0
-    late = sends(drive.ask()[1])[0]
-    drive.list(entry(1, started=drive.now - 100.0))
-    fresh = drive.agent.servers[1]
-    assert fresh.send_times == [drive.now] and [leg[0] for leg in fresh.open_attempts] == [late.request]
+    driver = AgentDriver(servers=1)
+    driver.now += 1000.0
+    early = sends(driver.ask()[1])[0]
+    driver.now += 500.0
+    late = sends(driver.ask()[1])[0]
+    driver.update_list(entry(1, started=driver.now - 100.0))
+    fresh = driver.agent.servers[1]
+    assert fresh.send_times == [driver.now] and [leg[0] for leg in fresh.open_attempts] == [late.request]
     assert fresh.outcomes == 0 and fresh.concurrency_limit == 6.0, "of what we learnt nothing is kept"
-    drive.end(early)
+    driver.end(early)
     assert fresh.open_attempts
-    drive.end(late)
+    driver.end(late)
     assert not fresh.open_attempts
 
 
 def test_an_attempt_out_at_the_old_one_speaks_of_the_build_that_ran_it() -> None:
-    drive = Drive(servers=1)
-    drive.now += 10.0
-    drive.news(2, 0, it.Phase.TRIAL, 1.0)
-    (send,) = sends(drive.ask()[1])
-    drive.list(entry(1, build=2))
-    drive.end(send, it.Status.ERROR, over=True)
-    assert drive.agent.own_row[:4] == [0.0, 0.0, 1.0, 1.0], "an error of the earlier build, none of the trial"
+    driver = AgentDriver(servers=1)
+    driver.now += 10.0
+    driver.update_stage(2, 0, it.Phase.TRIAL, 1.0)
+    (send,) = sends(driver.ask()[1])
+    driver.update_list(entry(1, build=2))
+    driver.end(send, it.Status.ERROR, over=True)
+    assert driver.agent.own_row[:4] == [0.0, 0.0, 1.0, 1.0], "an error of the earlier build, none of the trial"
 
 
 def test_a_complaint_on_an_answer_of_the_old_one_is_none_of_the_new_one() -> None:
     """It names a server by number only: its age tells which one gave the answer."""
-    drive = Drive(servers=2)
-    drive.news(2, 0, it.Phase.TRIAL, 1.0)
-    drive.list(entry(1, build=2, started=drive.now))
-    drive.now += 1000.0
-    drive.give(it.Complaint(0, 1, 1500.0))
-    assert drive.agent.own_row == drive.agent.empty_row and not drive.agent.servers[1].bin_latencies
-    drive.give(it.Complaint(0, 1, 900.0))
-    assert drive.agent.own_row[:2] == [0.0, 1.0]
+    driver = AgentDriver(servers=2)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 1.0)
+    driver.update_list(entry(1, build=2, started=driver.now))
+    driver.now += 1000.0
+    driver.deliver(it.Complaint(0, 1, 1500.0))
+    assert driver.agent.own_row == driver.agent.empty_row and not driver.agent.servers[1].bin_latencies
+    driver.deliver(it.Complaint(0, 1, 900.0))
+    assert driver.agent.own_row[:2] == [0.0, 1.0]
 
 
 def test_a_start_that_is_not_told_makes_no_cold_server_warm_and_is_no_restart() -> None:
-    drive = Drive(servers=3)
-    drive.list(entry(4, started=drive.now))
-    cold = drive.agent.servers[4]
-    drive.list(entry(4, started=0.0))
-    assert drive.agent.servers[4] is cold and drive.agent._age(cold) == 0.0
-    drive.list(entry(4, started=drive.now + 1.0))
-    assert drive.agent.servers[4] is not cold
+    driver = AgentDriver(servers=3)
+    driver.update_list(entry(4, started=driver.now))
+    cold = driver.agent.servers[4]
+    driver.update_list(entry(4, started=0.0))
+    assert driver.agent.servers[4] is cold and driver.agent._age(cold) == 0.0
+    driver.update_list(entry(4, started=driver.now + 1.0))
+    assert driver.agent.servers[4] is not cold
 
 
 def test_a_server_that_leaves_and_comes_back_within_its_window_has_its_cold_budget_spent() -> None:
-    drive = Drive(servers=1)
-    cold = entry(9, started=drive.now)
-    drive.list(cold)
-    while not drive.agent.servers[9].send_times:
-        for send in sends(drive.ask()[1]):
-            drive.end(send)
-    drive.list(entry(9, started=cold.started_ms, state=it.ServerState.GONE))
-    drive.tick(500.0)
-    drive.list(cold)
-    assert drive.agent.servers[9].send_times, "forgetting must not free it"
+    driver = AgentDriver(servers=1)
+    cold = entry(9, started=driver.now)
+    driver.update_list(cold)
+    while not driver.agent.servers[9].send_times:
+        for send in sends(driver.ask()[1]):
+            driver.end(send)
+    driver.update_list(entry(9, started=cold.started_ms, state=it.ServerState.GONE))
+    driver.tick(500.0)
+    driver.update_list(cold)
+    assert driver.agent.servers[9].send_times, "forgetting must not free it"
 
 
 # --- the book of the list ---
--- a/tests/test_settings_elsewhere.py
+++ b/tests/test_settings_elsewhere.py
@@ -3,79 +3,79 @@
 from dataclasses import replace
 
 import pytest
-from helpers import Drive, entry, kinds, sends, settings
+from helpers import AgentDriver, entry, kinds, sends, settings
 
 from otterquay import interface as it
 
 
 def test_a_list_that_must_be_asked_for_is_asked_for_and_again_after_a_failure() -> None:
-    drive = Drive(settings(discovery=it.Discovery.ASK))
-    assert drive.all.count(it.Watch(True)) == 1
+    driver = AgentDriver(settings(discovery=it.Discovery.ASK))
+    assert driver.actions.count(it.Watch(True)) == 1
     for _ in range(30):
-        drive.tick()
-    assert drive.all.count(it.Watch(True)) == 1, "a subscription that stands is not asked for again"
-    drive.give(it.ServerList(it.ListKind.FAILED, 0, ()))
+        driver.tick()
+    assert driver.actions.count(it.Watch(True)) == 1, "a subscription that stands is not asked for again"
+    driver.deliver(it.ServerList(it.ListKind.FAILED, 0, ()))
     for _ in range(11):
-        drive.tick()
-    assert drive.all.count(it.Watch(True)) == 2
+        driver.tick()
+    assert driver.actions.count(it.Watch(True)) == 2
 
 
 def test_a_failed_list_leaves_the_old_one_in_force() -> None:
-    drive = Drive(servers=2)
-    drive.give(it.ServerList(it.ListKind.FAILED, 0, ()))
-    assert sends(drive.ask()[1])
+    driver = AgentDriver(servers=2)
+    driver.deliver(it.ServerList(it.ListKind.FAILED, 0, ()))
+    assert sends(driver.ask()[1])
 
 
 @pytest.mark.parametrize("tenants", [(), (it.Tenant("a", 5.0, 0.5), it.Tenant("b", 5.0, 0.5))])
 def test_with_and_without_tenants(tenants: tuple[it.Tenant, ...]) -> None:
-    drive = Drive(settings(tenants=tenants, over_share_worth=0.05))
-    assert all(sends(drive.ask(tenant=0)[1]) for _ in range(4))
+    driver = AgentDriver(settings(tenants=tenants, over_share_worth=0.05))
+    assert all(sends(driver.ask(tenant=0)[1]) for _ in range(4))
 
 
 def test_a_streamed_answer_that_has_begun_is_left_alone() -> None:
     streamed = replace(settings().classes[0], streamed=True)
-    drive = Drive(settings(classes=(streamed,)))
-    request, actions = drive.ask(budget=500.0)
+    driver = AgentDriver(settings(classes=(streamed,)))
+    request, actions = driver.ask(budget=500.0)
     (send,) = sends(actions)
-    assert drive.give(it.Begun(request, 0, send.server, 40.0)) == []
+    assert driver.deliver(it.Begun(request, 0, send.server, 40.0)) == []
     for _ in range(30):
-        assert kinds(drive.tick()) == []
-    assert kinds(drive.end(send, it.Status.RESET, over=True)) == []
+        assert kinds(driver.tick()) == []
+    assert kinds(driver.end(send, it.Status.RESET, over=True)) == []
 
 
 def test_zero_limits_mean_one_attempt_at_most_and_an_answer() -> None:
-    drive = Drive(settings(limits={"max_attempts": 1, "retry_after": False, "max_retry_after_ms": 0.0}))
-    request, actions = drive.ask()
-    assert drive.end(sends(actions)[0], it.Status.FULL) == [it.Refuse(request, 0.0)]
+    driver = AgentDriver(settings(limits={"max_attempts": 1, "retry_after": False, "max_retry_after_ms": 0.0}))
+    request, actions = driver.ask()
+    assert driver.end(sends(actions)[0], it.Status.FULL) == [it.Refuse(request, 0.0)]
 
 
 def test_a_single_server_that_is_cold_gets_a_trickle_and_the_rest_is_answered() -> None:
-    drive = Drive(servers=0)
-    drive.list(entry(1, started=drive.now))
-    asked = [drive.ask()[0] for _ in range(20)]
-    sent = {s.request for s in sends(drive.all)}
+    driver = AgentDriver(servers=0)
+    driver.update_list(entry(1, started=driver.now))
+    asked = [driver.ask()[0] for _ in range(20)]
+    sent = {s.request for s in sends(driver.actions)}
     assert sent
     for _ in range(10):
-        drive.tick()
-    answered = {a.request for a in drive.all if isinstance(a, it.Refuse | it.Fail)}
-    sent = {s.request for s in sends(drive.all)}
+        driver.tick()
+    answered = {a.request for a in driver.actions if isinstance(a, it.Refuse | it.Fail)}
+    sent = {s.request for s in sends(driver.actions)}
     assert sent | answered == set(asked) and not sent & answered
 
 
 @pytest.mark.parametrize("agents", [1, 3])
 def test_a_quiet_agent_serves_its_only_server_at_once_after_a_restart(agents: int) -> None:
     """Turns at cold servers are for fleets that would push them over: any server bears a few requests a window."""
-    drive = Drive(settings(agents=agents), servers=1)
-    drive.end(sends(drive.ask()[1])[0])
+    driver = AgentDriver(settings(agents=agents), servers=1)
+    driver.end(sends(driver.ask()[1])[0])
     for _ in range(120):
-        drive.tick(500.0)
-    drive.list(entry(1, started=drive.now))
-    assert sends(drive.ask()[1])
+        driver.tick(500.0)
+    driver.update_list(entry(1, started=driver.now))
+    assert sends(driver.ask()[1])
 
 
 def test_events_that_nobody_asked_for_are_passed_over() -> None:
-    drive = Drive()
-    assert drive.give(it.ProbeResult(1, it.Status.OK, 1.0, ())) == []
-    assert drive.give(it.Outcome(9999, 1, 0, it.Status.OK, 5.0, True, ())) == []
-    assert drive.give(it.Abandoned(9999)) == []
-    assert drive.give(it.Complaint(0, 9999, 5.0)) == []
+    driver = AgentDriver()
+    assert driver.deliver(it.ProbeResult(1, it.Status.OK, 1.0, ())) == []
+    assert driver.deliver(it.Outcome(9999, 1, 0, it.Status.OK, 5.0, True, ())) == []
+    assert driver.deliver(it.Abandoned(9999)) == []
+    assert driver.deliver(it.Complaint(0, 9999, 5.0)) == []
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -334,6 +334,6 @@
 
 # three links slow at once: what was kept within the cap at the agent arrives closer together
 def test_a_day_of_three_slow_links_keeps_the_cap_by_the_traffic() -> None:
-    """Found by `lab search`; the module's own books (`rulebook`) show no breach at the time of sending."""
+    """Found by `lab search`; the module's own books (`rule_checker`) show no breach at the time of sending."""
     day, config = load_day(BAD_DAY)
     assert not search.trial(search.draw(day, config, 747), config, 747).broken
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 import pytest
-from helpers import SETTINGS, Drive, entry, sends, settings
+from helpers import SETTINGS, AgentDriver, entry, sends, settings
 
 from otterquay import interface as it
 
@@ -51,41 +51,43 @@
     return (it.Status.TIMEOUT, 500.0) if server >= 20 else (it.Status.OK, rng.lognormvariate(4.6, 0.5) * 2.0)
 
 
-def play(drive: Drive, behave: Server, seconds: float, rate: float = 60.0, start: int = 0) -> list[it.CastVote]:
+def play(
+    driver: AgentDriver, behave: Server, seconds: float, rate: float = 60.0, start: int = 0
+) -> list[it.CastVote]:
     """Requests at a rate, answered after their latency; the votes cast meanwhile."""
-    rng, before, due = random.Random(3), len(drive.all), list[tuple[float, it.Send, it.Status, float]]()
+    rng, before, due = random.Random(3), len(driver.actions), list[tuple[float, it.Send, it.Status, float]]()
     kinds: dict[int, int] = {}
-    last_tick, end = drive.now, drive.now + 1000.0 * seconds
+    last_tick, end = driver.now, driver.now + 1000.0 * seconds
 
     def out(actions: list[it.Action]) -> None:
         for send in sends(actions):
             status, latency = behave(send.server, kinds[send.request], rng)
-            due.append((drive.now + latency, send, status, latency))
+            due.append((driver.now + latency, send, status, latency))
 
-    while drive.now < end:
-        drive.now += 1000.0 / rate
+    while driver.now < end:
+        driver.now += 1000.0 / rate
         cls = rng.choices([0, 1, 2], [5, 3, 2])[0]
-        kinds[drive.ids + 1] = cls
-        out(drive.ask(cls=cls)[1])
+        kinds[driver.last_request + 1] = cls
+        out(driver.ask(cls=cls)[1])
         for item in sorted(due, key=lambda x: x[0]):
-            if item[0] <= drive.now:
+            if item[0] <= driver.now:
                 due.remove(item)
-                out(drive.end(item[1], item[2], item[3]))
-        if drive.now - last_tick >= 50.0:
-            last_tick = drive.now
-            out(drive.give(it.TimerFired(0)))
-    return [a for a in drive.all[before:] if isinstance(a, it.CastVote)]
+                out(driver.end(item[1], item[2], item[3]))
+        if driver.now - last_tick >= 50.0:
+            last_tick = driver.now
+            out(driver.deliver(it.TimerFired(0)))
+    return [a for a in driver.actions[before:] if isinstance(a, it.CastVote)]
 
 
 def offered(
     stage: int = 0, cap: float = 0.14, trials: int = 1, seed: int = 1, config: it.Settings = SETTINGS
-) -> Drive:
+) -> AgentDriver:
     """An agent with eight earlier servers and eight good seconds behind it, and a build just offered."""
-    drive = Drive(config, servers=8, seed=seed)
-    play(drive, good, 8.0)
-    drive.news(2, stage, it.Phase.TRIAL, cap)
-    drive.list(*[entry(20 + i, build=2, started=drive.now) for i in range(trials)])
-    return drive
+    driver = AgentDriver(config, servers=8, seed=seed)
+    play(driver, good, 8.0)
+    driver.update_stage(2, stage, it.Phase.TRIAL, cap)
+    driver.update_list(*[entry(20 + i, build=2, started=driver.now) for i in range(trials)])
+    return driver
 
 
 def trial(behave: Server, seconds: float = 20.0, seed: int = 1, **changes: object) -> list[it.CastVote]:
@@ -101,8 +103,8 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_slow_build_goes_back(seed: int) -> None:
-    drive = offered(stage=1, cap=0.5, trials=3, seed=seed)
-    votes = play(drive, slow, 25.0)
+    driver = offered(stage=1, cap=0.5, trials=3, seed=seed)
+    votes = play(driver, slow, 25.0)
     assert votes and {v.verdict for v in votes} == {it.Verdict.BACK}
 
 
@@ -120,15 +122,15 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_good_trial_is_not_held_for_an_earlier_build_that_turns_slow(seed: int) -> None:
     """The earlier build alone was looked at: it sent back the build that was to replace it."""
-    drive = offered(stage=1, cap=0.5, trials=6, seed=seed)
-    votes = play(drive, earlier_turns_slow, 25.0)
+    driver = offered(stage=1, cap=0.5, trials=6, seed=seed)
+    votes = play(driver, earlier_turns_slow, 25.0)
     assert {v.verdict for v in votes} == {it.Verdict.ON}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_good_trial_is_not_held_where_the_earlier_build_fails_and_jams_both(seed: int) -> None:
-    drive = offered(stage=1, cap=0.5, trials=6, seed=seed)
-    votes = play(drive, earlier_fails_and_all_wait, 25.0)
+    driver = offered(stage=1, cap=0.5, trials=6, seed=seed)
+    votes = play(driver, earlier_fails_and_all_wait, 25.0)
     assert {v.verdict for v in votes} == {it.Verdict.ON}
 
 
@@ -137,48 +139,48 @@
 
 
 def test_one_failing_machine_among_trial_servers_is_no_bad_build() -> None:
-    drive = offered(stage=1, cap=0.7, trials=4)
-    assert it.Verdict.BACK not in {v.verdict for v in play(drive, one_trial_machine_fails, 15.0)}
+    driver = offered(stage=1, cap=0.7, trials=4)
+    assert it.Verdict.BACK not in {v.verdict for v in play(driver, one_trial_machine_fails, 15.0)}
 
 
 def test_a_released_build_that_turns_bad_goes_back_without_earlier_servers() -> None:
     """In place, the earlier servers have gone: the last earlier error share stays as the baseline."""
-    drive = Drive(servers=4)
-    play(drive, good, 8.0)
-    drive.news(2, 1, it.Phase.TRIAL, 1.0)
-    fresh = [entry(20 + i, build=2, started=drive.now) for i in range(4)]
-    drive.list(*fresh)
-    play(drive, good, 8.0)
-    drive.news(2, 1, it.Phase.RELEASED, 1.0)
-    drive.list(*fresh, kind=it.ListKind.FULL)
-    assert not play(drive, good, 6.0)
-    votes = play(drive, one_class_fails, 12.0)
+    driver = AgentDriver(servers=4)
+    play(driver, good, 8.0)
+    driver.update_stage(2, 1, it.Phase.TRIAL, 1.0)
+    fresh = [entry(20 + i, build=2, started=driver.now) for i in range(4)]
+    driver.update_list(*fresh)
+    play(driver, good, 8.0)
+    driver.update_stage(2, 1, it.Phase.RELEASED, 1.0)
+    driver.update_list(*fresh, kind=it.ListKind.FULL)
+    assert not play(driver, good, 6.0)
+    votes = play(driver, one_class_fails, 12.0)
     assert votes and {v.verdict for v in votes} == {it.Verdict.BACK}
 
 
 def test_a_quiet_agent_leaves_the_vote_to_others() -> None:
-    drive = Drive(servers=8)
-    play(drive, good, 8.0, rate=2.0)
-    drive.news(2, 0, it.Phase.TRIAL, 0.14)
-    drive.list(entry(20, build=2, started=drive.now))
-    assert not play(drive, good, 15.0, rate=2.0)
+    driver = AgentDriver(servers=8)
+    play(driver, good, 8.0, rate=2.0)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
+    driver.update_list(entry(20, build=2, started=driver.now))
+    assert not play(driver, good, 15.0, rate=2.0)
 
 
 def test_a_quiet_agent_votes_on_what_peers_have_seen() -> None:
     def notes(config: it.Settings) -> list[bytes]:
         loud = offered(config=config)
         play(loud, good, 15.0)
-        return [a.data for a in loud.all if isinstance(a, it.TellPeers)]
+        return [a.data for a in loud.actions if isinstance(a, it.TellPeers)]
 
     config = settings(agents=2, limits={"peers": True})
-    quiet = Drive(config, servers=8, seed=2)
+    quiet = AgentDriver(config, servers=8, seed=2)
     play(quiet, good, 8.0, rate=6.0)
-    quiet.news(2, 0, it.Phase.TRIAL, 0.14)
-    quiet.list(entry(20, build=2, started=quiet.now))
+    quiet.update_stage(2, 0, it.Phase.TRIAL, 0.14)
+    quiet.update_list(entry(20, build=2, started=quiet.now))
     votes = []
     for note in notes(config):
         assert len(note) <= 256
-        quiet.give(it.PeerMessage(1, note))
+        quiet.deliver(it.PeerMessage(1, note))
         votes += play(quiet, good, 0.5, rate=6.0)
     assert {v.verdict for v in votes} == {it.Verdict.ON}
 
@@ -192,26 +194,26 @@
 
 
 def test_a_peers_words_that_do_not_fit_are_passed_over() -> None:
-    drive = Drive(settings(agents=2, limits={"peers": True}))
+    driver = AgentDriver(settings(agents=2, limits={"peers": True}))
     for data in (b"", b"hello", bytes(256)):
-        assert drive.give(it.PeerMessage(1, data)) == []
+        assert driver.deliver(it.PeerMessage(1, data)) == []
 
 
-def tallied(own: int) -> Drive:
+def tallied(own: int) -> AgentDriver:
     """One of fifty agents that may not talk, with own errors at a trial server and tallies of more."""
-    drive = Drive(settings(agents=50, rollout={"tally_ms": 2000.0}), servers=8)
-    drive.news(2, 0, it.Phase.TRIAL, 0.14)
-    drive.list(entry(20, build=2, started=drive.now))
+    driver = AgentDriver(settings(agents=50, rollout={"tally_ms": 2000.0}), servers=8)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
+    driver.update_list(entry(20, build=2, started=driver.now))
     for _ in range(400):
-        for send in sends(drive.ask()[1]):
+        for send in sends(driver.ask()[1]):
             bad = send.server == 20 and own > 0
             own -= bad
-            drive.end(send, it.Status.ERROR if bad else it.Status.OK, over=True)
-        drive.tick(20.0)
+            driver.end(send, it.Status.ERROR if bad else it.Status.OK, over=True)
+        driver.tick(20.0)
     assert own <= 0
-    drive.give(it.Tally(1, 0, 200, 0, 100.0, 500.0))
-    drive.give(it.Tally(2, 0, 20, 12, 100.0, 500.0))
-    return drive
+    driver.deliver(it.Tally(1, 0, 200, 0, 100.0, 500.0))
+    driver.deliver(it.Tally(2, 0, 20, 12, 100.0, 500.0))
+    return driver
 
 
 def test_tallies_tell_of_a_failing_class() -> None:
@@ -224,10 +226,10 @@
 
 
 def test_a_vote_that_was_lost_is_cast_again() -> None:
-    drive = tallied(own=3)
-    assert len(play(drive, good, 1.0)) == 1
-    drive.give(it.StageNews(0, 0, it.Phase.TRIAL, True, it.Status.TIMEOUT, 0.0, 0.0))
-    assert len(play(drive, good, 1.5)) == 1
+    driver = tallied(own=3)
+    assert len(play(driver, good, 1.0)) == 1
+    driver.deliver(it.StageNews(0, 0, it.Phase.TRIAL, True, it.Status.TIMEOUT, 0.0, 0.0))
+    assert len(play(driver, good, 1.5)) == 1
 
 
 def test_under_clock_control_only_back_votes_are_cast() -> None:
@@ -237,18 +239,18 @@
 
 
 def test_a_restarted_agent_votes_with_nothing_but_its_list() -> None:
-    drive = Drive(servers=8)
-    drive.news(2, 0, it.Phase.TRIAL, 0.14)
-    drive.list(entry(20, build=2))
-    assert {v.verdict for v in play(drive, good, 25.0)} == {it.Verdict.ON}
+    driver = AgentDriver(servers=8)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
+    driver.update_list(entry(20, build=2))
+    assert {v.verdict for v in play(driver, good, 25.0)} == {it.Verdict.ON}
 
 
 def test_complaints_count_as_errors_of_the_build() -> None:
-    drive = offered(config=settings(rollout={"flag_share": 0.15}))
-    play(drive, good, 6.0)
+    driver = offered(config=settings(rollout={"flag_share": 0.15}))
+    play(driver, good, 6.0)
     for _ in range(8):
-        drive.give(it.Complaint(0, 20, 1500.0))
-    assert it.Verdict.BACK in {v.verdict for v in play(drive, good, 1.0)}
+        driver.deliver(it.Complaint(0, 20, 1500.0))
+    assert it.Verdict.BACK in {v.verdict for v in play(driver, good, 1.0)}
 
 
 def test_no_step_on_while_all_servers_are_slower_than_before() -> None:
@@ -257,8 +259,8 @@
 
 
 def test_a_build_that_slows_all_servers_for_long_goes_back() -> None:
-    drive = offered(stage=1, cap=0.5, trials=4)
-    votes = play(drive, everything_slow, 20.0)
+    driver = offered(stage=1, cap=0.5, trials=4)
+    votes = play(driver, everything_slow, 20.0)
     assert votes and {v.verdict for v in votes} == {it.Verdict.BACK}
 
 
@@ -270,12 +272,12 @@
     regained, no new order of servers, until it was restarted. Seen first as a traceback of a drawn fleet, in
     `_breaker`: time-outs count as levels, of which it had twenty, but not as outcomes, by whose number it divided.
     """
-    drive = Drive(seed=seed, servers=8)
-    play(drive, good, 10.0)
-    drive.news(2, 0, it.Phase.TRIAL, 0.5)
-    drive.list(*[entry(20 + i, build=2) for i in range(4)])
-    play(drive, trial_never_answers, 12.0)
-    assert any(isinstance(action, it.SetTimer) for action in drive.tick(500.0))
+    driver = AgentDriver(seed=seed, servers=8)
+    play(driver, good, 10.0)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.5)
+    driver.update_list(*[entry(20 + i, build=2) for i in range(4)])
+    play(driver, trial_never_answers, 12.0)
+    assert any(isinstance(action, it.SetTimer) for action in driver.tick(500.0))
 
 
 def test_idle_earlier_servers_are_no_measure() -> None:
@@ -284,41 +286,41 @@
     def idle(server: int, cls: int, rng: random.Random) -> tuple[it.Status, float]:
         return it.Status.OK, rng.lognormvariate(4.6, 0.5) * (1.0 if server >= 20 else 0.35)
 
-    drive = offered(stage=1, cap=0.6, trials=6)
-    assert it.Verdict.BACK not in {v.verdict for v in play(drive, idle, 20.0)}
+    driver = offered(stage=1, cap=0.6, trials=6)
+    assert it.Verdict.BACK not in {v.verdict for v in play(driver, idle, 20.0)}
 
 
-def bins(drive: Drive, count: int, trial: tuple[int, float], earlier: tuple[int, float]) -> set[it.Verdict]:
+def bins(driver: AgentDriver, count: int, trial: tuple[int, float], earlier: tuple[int, float]) -> set[it.Verdict]:
     """So many bins in which servers of each build gave so many answers at a log latency over the usual."""
-    before, at = len(drive.all), 4 * drive.agent.class_count
+    before, at = len(driver.actions), 4 * driver.agent.class_count
     for _ in range(count):
         for i, (n, level) in ((at, trial), (at + 2, earlier)):
-            drive.agent.own_row[i] += n
-            drive.agent.own_row[i + 1] += n * level
-        drive.agent.own_row[0] += trial[0]
-        drive.tick(500.0)
-    return {a.verdict for a in drive.all[before:] if isinstance(a, it.CastVote)}
+            driver.agent.own_row[i] += n
+            driver.agent.own_row[i + 1] += n * level
+        driver.agent.own_row[0] += trial[0]
+        driver.tick(500.0)
+    return {a.verdict for a in driver.actions[before:] if isinstance(a, it.CastVote)}
 
 
 @pytest.mark.parametrize(("earlier", "back"), [(1.8, False), (0.0, True)])
 def test_levels_are_compared_within_their_own_time(earlier: float, back: bool) -> None:
     """Most of what the earlier build answered was before the load came, as few of its servers are left."""
-    drive = offered(stage=1, cap=1.0, trials=6)
-    bins(drive, 16, (10, 0.0), (50, 0.0))
-    assert (it.Verdict.BACK in bins(drive, 20, (60, 2.0), (5, earlier))) is back
+    driver = offered(stage=1, cap=1.0, trials=6)
+    bins(driver, 16, (10, 0.0), (50, 0.0))
+    assert (it.Verdict.BACK in bins(driver, 20, (60, 2.0), (5, earlier))) is back
 
 
 @pytest.mark.parametrize("gone", [False, True])
 def test_stragglers_of_an_earlier_build_that_has_gone_hold_no_step(gone: bool) -> None:
-    drive = offered(stage=1, cap=1.0, trials=6)
-    bins(drive, 8, (30, 0.3), (30, 0.0))
+    driver = offered(stage=1, cap=1.0, trials=6)
+    bins(driver, 8, (30, 0.3), (30, 0.0))
     if gone:
-        drive.list(*[entry(i, state=it.ServerState.GONE) for i in range(1, 9)])
-    bins(drive, 3, (30, 0.3), (20, 1.5))
-    assert bool(drive.agent.slower_bins) is not gone
+        driver.update_list(*[entry(i, state=it.ServerState.GONE) for i in range(1, 9)])
+    bins(driver, 3, (30, 0.3), (20, 1.5))
+    assert bool(driver.agent.slower_bins) is not gone
 
 
 def test_an_on_vote_is_taken_back_when_its_grounds_fall_away() -> None:
-    drive = offered()
-    assert {v.verdict for v in play(drive, good, 15.0)} == {it.Verdict.ON}
-    assert play(drive, everything_slow, 6.0)[-1].verdict is it.Verdict.NONE
+    driver = offered()
+    assert {v.verdict for v in play(driver, good, 15.0)} == {it.Verdict.ON}
+    assert play(driver, everything_slow, 6.0)[-1].verdict is it.Verdict.NONE
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import Drive, entry, sends, settings
+from helpers import AgentDriver, entry, sends, settings
 
 from benchmarks.verdict import Driven, instructions, steps
 from otterquay import interface as it
@@ -17,10 +17,10 @@
 
 def refused(servers: int, monkeypatch: pytest.MonkeyPatch) -> int:
     """Questions to the gate for one refusal where all servers are on trial and the cap is used up."""
-    drive = Drive(settings(), servers=0)
-    drive.list(*[entry(i, build=2) for i in range(1, servers + 1)], kind=it.ListKind.FULL)
-    drive.news(2, 0, it.Phase.TRIAL, 0.14)
-    while sends(drive.ask()[1]):
+    driver = AgentDriver(settings(), servers=0)
+    driver.update_list(*[entry(i, build=2) for i in range(1, servers + 1)], kind=it.ListKind.FULL)
+    driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
+    while sends(driver.ask()[1]):
         pass
     asked = 0
     gate, window = Agent.may_send, Agent._exposure
@@ -37,7 +37,7 @@
 
     monkeypatch.setattr(Agent, "may_send", counted)
     monkeypatch.setattr(Agent, "_exposure", looked)
-    _, actions = drive.ask()
+    _, actions = driver.ask()
     monkeypatch.undo()
     assert any(isinstance(a, it.Refuse) for a in actions)
     return asked
@@ -50,10 +50,10 @@
 
 
 def test_a_build_that_is_open_is_still_asked_server_by_server(monkeypatch: pytest.MonkeyPatch) -> None:
-    drive = Drive(settings(), servers=0)
-    drive.list(*[entry(i, build=2 + i % 2) for i in range(1, 13)], kind=it.ListKind.FULL)
-    drive.news(3, 0, it.Phase.TRIAL, 0.14)
-    sent = [s.server for _ in range(50) for s in sends(drive.ask()[1])]
+    driver = AgentDriver(settings(), servers=0)
+    driver.update_list(*[entry(i, build=2 + i % 2) for i in range(1, 13)], kind=it.ListKind.FULL)
+    driver.update_stage(3, 0, it.Phase.TRIAL, 0.14)
+    sent = [s.server for _ in range(50) for s in sends(driver.ask()[1])]
     assert {s % 2 for s in sent} >= {0}, "the earlier build is open while the newer one is shut"
 
 
