--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders for hand-written event sequences."""
+"""Builders of settings and events, and a driver of one agent, for tests that write event sequences by hand."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def settings(**changes: object) -> it.Settings:
-    """The usual settings with some parts changed; rollout, limits and rules take dictionaries."""
+    """Return the default settings with changes; rollout, limits and rules take dictionaries."""
     parts = {
         name: replace(getattr(SETTINGS, name), **changes.pop(name))
         for name in ("rollout", "limits", "rules")
@@ -101,7 +101,7 @@
 
 
 class AgentDriver:
-    """An agent with a clock of its own and a memory of what it sent."""
+    """Drives one agent on a clock of its own and records its actions."""
 
     def __init__(self, config: it.Settings = SETTINGS, servers: int = 4, seed: int = 1, now: float = 1e6) -> None:
         self.agent, self.now, self.last_request = Agent(config, seed), now, 100
@@ -137,10 +137,10 @@
         latency: float = 100.0,
         over: bool | None = None,
     ) -> list[it.Action]:
-        leg = self.attempt_counts.get(send.request, 0)
-        self.attempt_counts[send.request] = leg + 1
-        done = status is it.Status.OK if over is None else over
-        return self.deliver(it.Outcome(send.request, send.server, leg, status, latency, done, ()))
+        attempt = self.attempt_counts.get(send.request, 0)
+        self.attempt_counts[send.request] = attempt + 1
+        is_over = status is it.Status.OK if over is None else over
+        return self.deliver(it.Outcome(send.request, send.server, attempt, status, latency, is_over, ()))
 
     def tick(self, ms: float = 50.0) -> list[it.Action]:
         self.now += ms
@@ -156,12 +156,12 @@
 
 
 def never_drains(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module takes every server that it knows for ready: a guard taken out, to see that tests notice."""
-    hear = Agent._serverlist
+    """Take a guard out, to show that tests notice: the agent holds every known server for ready."""
+    original = Agent._serverlist
 
-    def deaf(self: Agent, news: it.ServerList) -> None:
-        hear(self, news)
+    def without_drains(self: Agent, news: it.ServerList) -> None:
+        original(self, news)
         for server in self.servers.values():
             server.ready = True
 
-    monkeypatch.setattr(Agent, "_serverlist", deaf)
+    monkeypatch.setattr(Agent, "_serverlist", without_drains)
--- a/tests/rule_checker.py
+++ b/tests/rule_checker.py
@@ -1,9 +1,10 @@
-"""Books of the five rules for one agent, that share nothing with the module: events and actions in, faults out.
+"""Checks the five rules for one agent from its events and actions; it shares no code with the decision module.
 
-They know what the agent was told and what it did. Drains and lower caps are held to what `docs/design.md` promises:
-they bind at once, without the grace that the users allow. Rule 4 cannot be judged by one agent's books alone; as
-in service the capacity is guessed from what warm servers bear: an agent breaks its part when it sends a cold server
-more than the multiple of its present share of what it sends a server on the average, beyond one attempt.
+The checker knows what the agent was notified of and what it did. Drains and lower caps must bind at once, as
+`docs/design.md` promises, without the grace that the users allow. Rule 4 cannot be judged from one agent alone: the
+capacity is estimated from what warm servers bear. An agent breaks its part of the rule when it sends a cold server,
+beyond one attempt, more than the permitted multiple of that server's present capacity times the average number of
+its sends per server.
 """
 
 from __future__ import annotations
@@ -18,169 +19,177 @@
 RULES = (ANSWERED, EFFECTS, DRAINS, COLD, EXPOSURE)
 
 
-class Broken(AssertionError):
-    """A rule is broken; `rule` says which."""
+class RuleViolation(AssertionError):
+    """The agent has broken a rule; `rule` tells which."""
 
-    def __init__(self, rule: str, why: str) -> None:
-        super().__init__(f"{rule}: {why}")
+    def __init__(self, rule: str, reason: str) -> None:
+        super().__init__(f"{rule}: {reason}")
         self.rule = rule
 
 
 @dataclass(slots=True)
-class Leg:
-    """One attempt: at which server and start of it, when, until when, and how it ended."""
+class AttemptRecord:
+    """One attempt: its server with that server's start, when it was sent, its time limit, and how it ended."""
 
     server: it.ServerEntry
-    at: float
+    sent_at: float
     until: float
     status: it.Status | None = None
 
 
 @dataclass(slots=True)
-class Duty:
-    """A request that was taken."""
+class RequestRecord:
+    """A request that the agent has taken."""
 
     cls: int
     key: int
     deadline: float
-    attempts: list[Leg] = field(default_factory=list)
+    attempts: list[AttemptRecord] = field(default_factory=list)
     final_answers: int = 0
 
 
 class RuleChecker:
-    """Hand it each event before the agent gets it, each action after; it raises `Broken`."""
+    """Give it each event before the agent gets it and each action after; it raises `RuleViolation`."""
 
     def __init__(self, config: it.Settings) -> None:
         self.config = config
-        self.requests: dict[int, Duty] = {}
+        self.requests: dict[int, RequestRecord] = {}
         self.listed: dict[int, it.ServerEntry] = {}
-        self.away: dict[int, float] = {}  # server: since when it is told to drain or be gone
-        self.sent: list[tuple[float, int, float]] = []  # when, server, its start
-        self.tried: list[tuple[float, int, int]] = []  # on trial: when, build, class
-        self.taken: list[tuple[float, int]] = []
-        self.caps: list[tuple[float, int, int, it.Phase, float]] = [(-math.inf, 0, 0, it.Phase.RELEASED, 1.0)]
-        self.kept: dict[int, int] = {}  # key: the newest build that answered it
-
-    # --- what the agent is told ---
+        self.not_ready: dict[int, float] = {}  # by server: since when the list has it as draining or gone
+        self.sends: list[tuple[float, int, float]] = []  # time, server, start of the server
+        self.trial_sends: list[tuple[float, int, int]] = []  # sends to builds on trial: time, build, class
+        self.arrivals: list[tuple[float, int]] = []  # time, class
+        self.stages: list[tuple[float, int, int, it.Phase, float]] = [(-math.inf, 0, 0, it.Phase.RELEASED, 1.0)]
+        self.key_builds: dict[int, int] = {}  # by key: the newest build that answered it
+
+    # --- events ---
     def event(self, now: float, event: it.Event) -> None:
+        """Record what the agent is notified of."""
         match event:
             case it.ServerList(kind, _, entries):
                 if kind in (it.ListKind.FULL, it.ListKind.CACHED):
                     for server in self.listed.keys() - {e.server for e in entries}:
-                        self.away.setdefault(server, now)
+                        self.not_ready.setdefault(server, now)
                 for entry in entries:
                     self.listed[entry.server] = entry
                     if entry.state is it.ServerState.READY:
-                        self.away.pop(entry.server, None)
+                        self.not_ready.pop(entry.server, None)
                     else:
-                        self.away.setdefault(entry.server, now)
+                        self.not_ready.setdefault(entry.server, now)
             case it.StageNews(build, stage, phase, _, it.Status.OK, cap, _):
-                if build >= self.caps[-1][1]:
-                    self.caps.append((now, build, stage, phase, cap))
+                if build >= self.stages[-1][1]:
+                    self.stages.append((now, build, stage, phase, cap))
                     if phase in (it.Phase.GOING_BACK, it.Phase.WITHDRAWN):
-                        self.kept = {}
-                    self.kept = {key: b for key, b in self.kept.items() if b >= build}
+                        self.key_builds = {}
+                    self.key_builds = {key: b for key, b in self.key_builds.items() if b >= build}
             case it.Request(request, cls, _, key, budget):
-                self.requests[request] = Duty(cls, key, now + budget)
-                self.taken.append((now, cls))
+                self.requests[request] = RequestRecord(cls, key, now + budget)
+                self.arrivals.append((now, cls))
             case it.Outcome(request, _, attempt, status, _, over, _):
-                duty = self.requests[request]
-                leg = duty.attempts[attempt]
-                leg.status = status
-                duty.final_answers += over and not duty.final_answers
-                if status is it.Status.OK and duty.key and leg.server.build >= self.caps[-1][1]:
-                    self.kept[duty.key] = max(self.kept.get(duty.key, 0), leg.server.build)
+                record = self.requests[request]
+                attempt_record = record.attempts[attempt]
+                attempt_record.status = status
+                record.final_answers += over and not record.final_answers
+                if status is it.Status.OK and record.key and attempt_record.server.build >= self.stages[-1][1]:
+                    self.key_builds[record.key] = max(
+                        self.key_builds.get(record.key, 0), attempt_record.server.build
+                    )
             case it.Abandoned(request):
-                duty = self.requests[request]
-                duty.final_answers += not duty.final_answers
+                record = self.requests[request]
+                record.final_answers += not record.final_answers
 
-    # --- what it does ---
+    # --- actions ---
     def action(self, now: float, action: it.Action) -> None:
+        """Check what the agent does."""
         match action:
             case it.Send(request, server, until):
                 self._send(now, self.requests[request], server, until)
             case it.Refuse(request) | it.Fail(request):
-                duty = self.requests[request]
-                duty.final_answers += 1
-                if duty.final_answers > 1:
-                    raise Broken(ANSWERED, f"{request} got a second final answer")
+                record = self.requests[request]
+                record.final_answers += 1
+                if record.final_answers > 1:
+                    raise RuleViolation(ANSWERED, f"{request} got a second final answer")
                 if isinstance(action, it.Refuse):
-                    self._refused(duty)
+                    self._refused(record)
 
-    def _refused(self, duty: Duty) -> None:
-        cls = self.config.classes[duty.cls]
+    def _refused(self, record: RequestRecord) -> None:
+        cls = self.config.classes[record.cls]
         harmless = cls.effect is it.Effect.SAFE or (cls.effect is it.Effect.KEYED and cls.scope is it.Scope.ALL)
-        if not harmless and any(leg.status not in UNRUN for leg in duty.attempts):
-            raise Broken(EFFECTS, "a refusal of what may have run")
+        if not harmless and any(a.status not in UNRUN for a in record.attempts):
+            raise RuleViolation(EFFECTS, "a refusal of a request that may have run")
 
-    def _send(self, now: float, duty: Duty, server: int, until: float) -> None:
+    def _send(self, now: float, record: RequestRecord, server: int, until: float) -> None:
         config, entry = self.config, self.listed[server]
-        if duty.final_answers or now >= duty.deadline:
-            raise Broken(ANSWERED, "a send for what is over")
-        if len(duty.attempts) >= config.limits.max_attempts:
-            raise Broken(ANSWERED, "more attempts than are allowed")
-        self._effects(now, duty, entry)
-        if server in self.away:
-            raise Broken(DRAINS, f"server {server} was told to be away")
-        self.sent.append((now, server, entry.started_ms))
+        if record.final_answers or now >= record.deadline:
+            raise RuleViolation(ANSWERED, "a send for a request that is over")
+        if len(record.attempts) >= config.limits.max_attempts:
+            raise RuleViolation(ANSWERED, "more attempts than are allowed")
+        self._effects(now, record, entry)
+        if server in self.not_ready:
+            raise RuleViolation(DRAINS, f"a send to server {server}, which is draining or gone")
+        self.sends.append((now, server, entry.started_ms))
         self._cold(now, entry)
-        self._exposure(now, duty, entry)
-        duty.attempts.append(Leg(entry, now, min(until, duty.deadline)))
+        self._exposure(now, record, entry)
+        record.attempts.append(AttemptRecord(entry, now, min(until, record.deadline)))
 
-    def _effects(self, now: float, duty: Duty, entry: it.ServerEntry) -> None:
-        cls, ran = self.config.classes[duty.cls], [leg for leg in duty.attempts if leg.status not in UNRUN]
-        if not ran:
+    def _effects(self, now: float, record: RequestRecord, entry: it.ServerEntry) -> None:
+        cls, may_have_run = self.config.classes[record.cls], [a for a in record.attempts if a.status not in UNRUN]
+        if not may_have_run:
             return
         if cls.effect is it.Effect.UNSAFE:
-            raise Broken(EFFECTS, "what must not run twice is sent again")
-        if any(leg.status is None for leg in ran) and not self.config.limits.second_copies:
-            raise Broken(EFFECTS, "two at once")
+            raise RuleViolation(EFFECTS, "an unsafe request that may have run is sent again")
+        if any(a.status is None for a in may_have_run) and not self.config.limits.second_copies:
+            raise RuleViolation(EFFECTS, "two attempts at once")
         if cls.effect is it.Effect.KEYED:
-            first = ran[0].server
+            first = may_have_run[0].server
             outside = {
                 it.Scope.ALL: False,
                 it.Scope.ZONE: first.zone != entry.zone,
                 it.Scope.CELL: first.cell != entry.cell,
             }
-            if outside[cls.scope] or now - ran[0].at > cls.repeat_window_ms:
-                raise Broken(EFFECTS, "a keyed repeat outside its group or window")
+            if outside[cls.scope] or now - may_have_run[0].sent_at > cls.repeat_window_ms:
+                raise RuleViolation(EFFECTS, "a keyed repeat outside its scope or window")
 
     def _cold(self, now: float, entry: it.ServerEntry) -> None:
         rules = self.config.rules
         age = now - entry.started_ms if entry.started_ms > 0 else math.inf
         if age >= rules.cold_ms:
             return
-        window = [(s, at) for when, s, at in self.sent if when > now - rules.fall_ms]
-        mine = sum(one == (entry.server, entry.started_ms) for one in window)
-        able = rules.start_capacity + (1 - rules.start_capacity) * age / rules.cold_ms
-        ready = sum(s not in self.away for s in self.listed)
-        if mine > max(1.0, rules.fall_multiple * able * len(window) / max(ready, 1)):
-            raise Broken(COLD, f"{mine} of {len(window)} to server {entry.server}, {age:.0f} ms old")
-
-    def _exposure(self, now: float, duty: Duty, entry: it.ServerEntry) -> None:
-        rollout, build, cls = self.config.rollout, entry.build, duty.cls
-        if rollout.one_way and duty.key and self.kept.get(duty.key, 0) > build:
-            raise Broken(EXPOSURE, f"key {duty.key} goes back to build {build}")
-        _, newest, stage, phase, cap = self.caps[-1]
+        window = [(s, start) for at_ms, s, start in self.sends if at_ms > now - rules.fall_ms]
+        to_server = sum(one == (entry.server, entry.started_ms) for one in window)
+        capacity = rules.start_capacity + (1 - rules.start_capacity) * age / rules.cold_ms
+        ready = sum(s not in self.not_ready for s in self.listed)
+        if to_server > max(1.0, rules.fall_multiple * capacity * len(window) / max(ready, 1)):
+            raise RuleViolation(
+                COLD, f"{to_server} of {len(window)} sends to server {entry.server}, {age:.0f} ms old"
+            )
+
+    def _exposure(self, now: float, record: RequestRecord, entry: it.ServerEntry) -> None:
+        rollout, build, cls = self.config.rollout, entry.build, record.cls
+        if rollout.one_way and record.key and self.key_builds.get(record.key, 0) > build:
+            raise RuleViolation(EXPOSURE, f"key {record.key} goes back to build {build}")
+        _, newest, stage, phase, cap = self.stages[-1]
         if build < newest or (build == newest and phase is it.Phase.RELEASED):
             return
         if build > newest:
             stage, cap = 0, rollout.stage_cap[0]
-        self.tried.append((now, build, cls))
+        self.trial_sends.append((now, build, cls))
         if cap <= 0:
-            raise Broken(EXPOSURE, f"a send to build {build} at cap 0")
+            raise RuleViolation(EXPOSURE, f"a send to build {build} at cap 0")
         if stage < rollout.guarded_stages and self.config.classes[cls].effect is not it.Effect.SAFE:
-            raise Broken(EXPOSURE, "an effect in a guarded stage")
+            raise RuleViolation(EXPOSURE, "a request with an effect in a guarded stage")
         since = now - rollout.window_ms
-        same = [c for when, b, c in self.tried if when > since and b == build]
-        tries = len([c for c in same if c == cls]) if rollout.per_class else len(same)
-        taken = sum(when > since and (not rollout.per_class or c == cls) for when, c in self.taken)
-        if tries > rollout.free + cap * taken + 1e-9:
-            raise Broken(EXPOSURE, f"{tries} tries of build {build} on {taken} requests at cap {cap}")
+        same_build = [c for at_ms, b, c in self.trial_sends if at_ms > since and b == build]
+        attempts = len([c for c in same_build if c == cls]) if rollout.per_class else len(same_build)
+        arrivals = sum(at_ms > since and (not rollout.per_class or c == cls) for at_ms, c in self.arrivals)
+        if attempts > rollout.free + cap * arrivals + 1e-9:
+            raise RuleViolation(
+                EXPOSURE, f"{attempts} attempts at build {build} on {arrivals} requests at cap {cap}"
+            )
 
     # --- time ---
-    def at(self, now: float) -> None:
-        """The clock has come this far: nothing may be owed beyond its time."""
-        for request, duty in self.requests.items():
-            if not duty.final_answers and now > duty.deadline + self.config.rules.answer_slack_ms:
-                raise Broken(ANSWERED, f"{request} got no final answer in its time")
+    def check_deadlines(self, now: float) -> None:
+        """Check that no request is without a final answer after its time."""
+        for request, record in self.requests.items():
+            if not record.final_answers and now > record.deadline + self.config.rules.answer_slack_ms:
+                raise RuleViolation(ANSWERED, f"{request} got no final answer in its time")
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The five rules at the one gate, by hand-written event sequences."""
+"""The five rules (`Rules.may_send`), by hand-written event sequences."""
 
 import pytest
 from helpers import AgentDriver, entry, kinds, sends, settings
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("status", [it.Status.FULL, it.Status.CONNECT_FAILED])
-def test_unsafe_proved_unrun_goes_elsewhere(status: it.Status) -> None:
+def test_unsafe_that_provably_never_ran_goes_to_another_server(status: it.Status) -> None:
     driver = AgentDriver()
     _, actions = driver.ask(cls=2)
     first = sends(actions)[0]
@@ -29,14 +29,14 @@
     assert again.server != first.server
 
 
-def test_unsafe_unrun_then_maybe_run_is_failed() -> None:
+def test_unsafe_that_never_ran_and_then_may_have_run_is_failed() -> None:
     driver = AgentDriver()
     _, actions = driver.ask(cls=2)
     (again,) = sends(driver.end(sends(actions)[0], it.Status.FULL))
     assert kinds(driver.end(again, it.Status.RESET)) == [it.Fail]
 
 
-def test_time_out_at_the_deadline_is_answered_in_the_same_batch() -> None:
+def test_a_time_out_at_the_deadline_is_answered_by_the_same_event() -> None:
     driver = AgentDriver()
     request, actions = driver.ask(cls=2, budget=700.0)
     driver.now += 700.0
@@ -44,7 +44,7 @@
     assert answer == [it.Fail(request)]
 
 
-def test_an_outcome_flagged_over_ends_the_duty() -> None:
+def test_an_outcome_flagged_over_ends_the_request() -> None:
     driver = AgentDriver()
     _, actions = driver.ask()
     assert kinds(driver.end(sends(actions)[0], it.Status.TIMEOUT, 900.0, over=True)) == []
@@ -70,7 +70,7 @@
     assert kinds(driver.end(sends(actions)[0], it.Status.ERROR, 2000.0)) == [it.Fail]
 
 
-def test_keyed_in_another_cell_is_no_place_for_a_repeat() -> None:
+def test_keyed_repeat_stays_in_its_cell() -> None:
     cell = settings().classes[1]
     cell = it.RequestClass(
         cell.name,
@@ -101,15 +101,15 @@
     assert {s.server for _ in range(10) for s in sends(driver.ask()[1])} <= {1}
 
 
-def test_with_no_server_a_request_is_refused_at_once_with_a_come_back_time() -> None:
+def test_with_no_server_a_request_is_refused_at_once_with_a_retry_after_time() -> None:
     driver = AgentDriver(servers=0)
     request, actions = driver.ask(budget=2000.0)
     assert actions == [it.Refuse(request, 400.0)]
 
 
 @pytest.mark.parametrize("budget", [0.0, 30.0, 60.0, 2000.0])
-def test_a_short_budget_is_answered_in_its_own_batch(budget: float) -> None:
-    """Held requests were once looked at after a budget shorter than a tick had run out; now none is held."""
+def test_a_short_budget_is_answered_at_once(budget: float) -> None:
+    """Held requests were once checked only after a budget shorter than a tick had run out; now none is held."""
     driver = AgentDriver(servers=0)
     assert kinds(driver.ask(budget=budget)[1]) == [it.Refuse]
 
@@ -129,7 +129,7 @@
 
 
 @pytest.mark.parametrize("phase", [it.Phase.TRIAL, it.Phase.GOING_BACK, it.Phase.WITHDRAWN])
-def test_cap_zero_means_nothing(phase: it.Phase) -> None:
+def test_cap_zero_permits_no_send(phase: it.Phase) -> None:
     driver = AgentDriver(servers=0)
     driver.update_list(entry(9, build=2))
     driver.update_stage(2, 0, phase, 0.0)
@@ -150,12 +150,12 @@
     assert sends(driver.ask(cls=0)[1])
 
 
-def test_counting_by_class_gives_each_class_its_own_room() -> None:
+def test_counting_by_class_gives_each_class_its_own_cap() -> None:
     driver = AgentDriver(settings(rollout={"per_class": True}), servers=0)
     driver.update_list(entry(9, build=2))
     driver.update_stage(2, 0, it.Phase.TRIAL, 0.01)
-    got = [sum(len(sends(driver.ask(cls=c)[1])) for _ in range(3)) for c in (0, 1)]
-    assert got == [2, 2]
+    sent = [sum(len(sends(driver.ask(cls=c)[1])) for _ in range(3)) for c in (0, 1)]
+    assert sent == [2, 2]
 
 
 def test_one_way_keys_do_not_return() -> None:
@@ -170,7 +170,7 @@
     assert sends(driver.ask(key=77)[1])
 
 
-def test_a_cold_server_gets_a_bounded_part_of_the_own_rate() -> None:
+def test_a_cold_server_gets_a_bounded_part_of_the_agents_rate() -> None:
     driver = AgentDriver(servers=3)
     driver.update_list(entry(4, started=driver.now))
     cold = 0
@@ -182,8 +182,8 @@
     assert 0 < cold <= max(1.0, 0.85 * 3.0 * 0.4 * 100 / 4)
 
 
-def test_cold_servers_together_get_what_their_budgets_under_one_come_to() -> None:
-    """Hundreds of agents with one attempt each for every cold server are what pushes all of them over."""
+def test_cold_budgets_below_one_attempt_are_added_up_over_all_cold_servers() -> None:
+    """Hundreds of agents that each send one attempt to every cold server would overload all of them."""
     driver = AgentDriver(servers=10)
     for _ in range(12):
         driver.end(sends(driver.ask()[1])[0])
@@ -200,7 +200,7 @@
 
 
 def test_attempts_that_never_ran_do_not_widen_a_cold_budget() -> None:
-    """Servers that refuse connections bear nothing: a storm of attempts at them made all cold ones seem abler."""
+    """Attempts at servers that refuse connections, and so bear no load, once raised all cold budgets."""
     driver = AgentDriver(servers=6)
     served = 0
     for i in range(60):
@@ -220,14 +220,14 @@
     for _ in range(9):
         driver.end(sends(driver.ask()[1])[0])
     driver.update_list(entry(1, started=driver.now))
-    hits = sum(send.server == 1 for _ in range(3) for send in sends(driver.ask()[1]))
-    assert hits <= max(1.0, 0.85 * 3.0 * 0.4 * 12 / 3)
+    to_restarted = sum(send.server == 1 for _ in range(3) for send in sends(driver.ask()[1]))
+    assert to_restarted <= max(1.0, 0.85 * 3.0 * 0.4 * 12 / 3)
     budget = int(0.85 * 3.0 * 0.4 * 40 / 3)
     for _ in range(28):
         for send in sends(driver.ask()[1]):
-            hits += send.server == 1
+            to_restarted += send.server == 1
             driver.end(send)
-    assert hits <= budget
+    assert to_restarted <= budget
 
 
 def test_no_two_attempts_at_once_where_copies_are_not_allowed() -> None:
@@ -246,15 +246,15 @@
 
 
 def test_retries_are_a_bounded_part_of_first_sends() -> None:
-    """Full queues everywhere must not be answered with a storm of retries."""
+    """Full queues at all servers must not lead to a retry storm."""
     driver = AgentDriver(servers=8)
     attempts, requests = 0, 200
     for _ in range(requests):
         driver.now += 100.0
-        todo = sends(driver.ask()[1])
-        while todo:
+        pending = sends(driver.ask()[1])
+        while pending:
             attempts += 1
-            todo = sends(driver.end(todo.pop(), it.Status.FULL, 1.0))
+            pending = sends(driver.end(pending.pop(), it.Status.FULL, 1.0))
     assert attempts <= 1.2 * requests + 11
 
 
@@ -272,7 +272,7 @@
 
 
 def test_requests_that_were_refused_do_not_widen_a_cold_budget() -> None:
-    """A burst of clients asking again raised the own rate without making the cold server any abler."""
+    """A burst of clients that ask again raised the agent's rate, though the cold server could bear no more."""
     driver = AgentDriver(servers=2)
     driver.update_list(entry(4, started=driver.now))
     sent, cold = 0, 0
@@ -283,12 +283,12 @@
         for send in sends(driver.ask()[1]):
             sent += 1
             cold += send.server == 4
-            if send.server == 4:  # the others are busy, so the choice leans to the cold one
+            if send.server == 4:  # the others are busy, so the cold one is more likely to be chosen
                 driver.end(send)
     assert cold <= max(1.0, 0.85 * 3.0 * 0.4 * (sent + 1) / 3)
 
 
-def test_attempts_of_before_a_restart_count_against_the_cap_and_fade_with_the_window() -> None:
+def test_attempts_from_before_a_restart_count_against_the_cap_within_the_window() -> None:
     def trial_sends(restored: bool) -> int:
         driver = AgentDriver(settings(rollout={"free": 3.0, "stage_cap": (0.1, 1.0)}), servers=0)
         if restored:
@@ -310,13 +310,13 @@
     assert sends(driver.ask(cls=1, key=77)[1])
 
 
-def test_what_a_store_says_is_settled_is_served_and_does_not_end_the_wait_before_a_vote() -> None:
+def test_stage_news_from_a_store_permits_service_but_does_not_end_the_wait_before_a_vote() -> None:
     driver = AgentDriver()
     driver.deliver(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")))
     assert driver.agent._cap(1) is None and driver.agent._cap(2) == driver.agent.rollout.stage_cap[0]
     driver.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
     assert driver.agent.settle_until > driver.now
-    heard = AgentDriver()
-    heard.deliver(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 5.0))
-    heard.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
-    assert heard.agent.settle_until == 0.0
+    with_live_news = AgentDriver()
+    with_live_news.deliver(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 5.0))
+    with_live_news.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.1, 0.0))
+    assert with_live_news.agent.settle_until == 0.0
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""Guards of the module that no other test misses when they are taken out; each with what happens without it."""
+"""Guards of the decision module whose removal no other test notices; each test says what happens without it."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from otterquay.policy.updates import SETTLE_MS
 
 
-def out_at(driver: AgentDriver, cls: int) -> int:
-    """How many attempts of a class one server holds when nothing is answered; of forty."""
+def open_of_forty(driver: AgentDriver, cls: int) -> int:
+    """Number of attempts that one server holds after forty requests of a class, none of them answered."""
     for _ in range(40):
         driver.ask(cls=cls)
     return len(driver.agent.servers[1].open_attempts)
 
 
-def test_a_server_holds_a_bounded_number_of_own_attempts_that_follows_its_answers() -> None:
-    """Without it a slow or stalled machine takes all that is sent until its time-outs come."""
+def test_the_concurrency_limit_of_a_server_follows_its_answers() -> None:
+    """Without the limit a slow or stalled machine takes all requests until they time out."""
     driver = AgentDriver(servers=1)
-    assert out_at(driver, 2) == math.ceil(INITIAL_CONCURRENCY_LIMIT)
+    assert open_of_forty(driver, 2) == math.ceil(INITIAL_CONCURRENCY_LIMIT)
     quick, tardy = AgentDriver(servers=1), AgentDriver(servers=1)
     for driver, latency in ((quick, 50.0), (tardy, 700.0)):
         for _ in range(20):
@@ -40,8 +40,8 @@
     )
 
 
-def test_a_bound_of_one_grows_again_with_quick_answers() -> None:
-    """The answered attempt was not counted, so a server once cut to one held one for good."""
+def test_a_concurrency_limit_of_one_grows_again_with_quick_answers() -> None:
+    """The answered attempt was not counted as open, so a limit that was once cut to one stayed at one."""
     driver = AgentDriver(servers=1)
     driver.agent.servers[1].concurrency_limit = 1.0
     for _ in range(10):
@@ -51,12 +51,12 @@
     assert driver.agent.servers[1].concurrency_limit > 1.0
 
 
-def test_the_least_worth_may_use_a_part_of_that_number_only() -> None:
-    assert out_at(AgentDriver(servers=1), 0) < out_at(AgentDriver(servers=1), 2)
+def test_requests_of_the_least_worth_may_use_only_a_part_of_the_concurrency_limit() -> None:
+    assert open_of_forty(AgentDriver(servers=1), 0) < open_of_forty(AgentDriver(servers=1), 2)
 
 
-def test_a_tenant_over_its_share_counts_for_little() -> None:
-    """Without it the traffic over a share, which is worth a twentieth, pushes out the rest."""
+def test_requests_of_a_tenant_over_its_share_have_a_low_worth() -> None:
+    """Without it, traffic over a share, which is worth a twentieth, displaces other traffic."""
     tenants = (it.Tenant("a", 10.0, 0.5), it.Tenant("b", 10.0, 0.5))
     driver = AgentDriver(settings(tenants=tenants, over_share_worth=0.05), servers=1)
     driver.agent.tenant_request_times = [[driver.now] * 50, [driver.now] * 10]
@@ -73,8 +73,8 @@
     assert worth[0] == 0.05 * worth[1] > 0
 
 
-def test_a_server_that_was_avoided_for_its_failures_is_tried_again_after_seconds() -> None:
-    """Without it a server that recovers is chosen only where nothing else fits."""
+def test_a_server_avoided_for_its_failures_is_tried_again_after_seconds() -> None:
+    """Without it, a server that has recovered is chosen only where no other fits."""
     driver = AgentDriver(servers=4)
     bad = driver.agent.servers[1]
     bad.health = 0.1
@@ -84,23 +84,23 @@
     assert bad.health > 0.7
 
 
-def test_a_server_that_was_slow_is_tried_and_trusted_again() -> None:
-    """Slowness and the bound on open work do not age, but a server avoided for them is still drawn now and then."""
+def test_a_server_that_was_slow_is_tried_and_used_again() -> None:
+    """Slowness and the limit do not recover with time alone, but such a server is still drawn now and then."""
     driver = AgentDriver(servers=3)
     slow = driver.agent.servers[1]
     slow.slowness, slow.concurrency_limit = 8.0, 1.0
-    rng, used = random.Random(1), 0
+    rng, sent_to_slow = random.Random(1), 0
     for i in range(1500):
         driver.now += 20.0
         if i % 25 == 0:
             driver.tick(0.0)
         for send in sends(driver.ask()[1]):
-            used += i >= 1200 and send.server == 1
+            sent_to_slow += i >= 1200 and send.server == 1
             driver.end(send, latency=rng.uniform(100.0, 300.0))
-    assert slow.slowness < 2.0 and used > 300 / 3 / 2
+    assert slow.slowness < 2.0 and sent_to_slow > 300 / 3 / 2
 
 
-def test_the_crossing_of_zones_counts_where_it_has_a_price() -> None:
+def test_crossing_zones_costs_more_where_it_has_a_price() -> None:
     for price, dearer in ((0.0, False), (0.02, True)):
         driver = AgentDriver(settings(cross_zone_price=price), servers=0)
         driver.update_list(entry(1, zone=0), entry(2, zone=1))
@@ -108,8 +108,8 @@
         assert (far > near) is dearer
 
 
-def middle(driver: AgentDriver, trial_ms: float, earlier_ms: float, bins: int) -> str:
-    """Some bins of two outcomes a class on each side, too few for the level; what the breaker says."""
+def breaker_after(driver: AgentDriver, trial_ms: float, earlier_ms: float, bins: int) -> str:
+    """Return the breaker's reason after bins with two outcomes per class and build, too few for the level."""
     for _ in range(bins):
         driver.now += 10.0
         for server in driver.agent.servers.values():
@@ -120,8 +120,8 @@
     return driver.agent.trip_reason
 
 
-def test_a_trial_whose_middle_is_late_for_three_bins_goes_back_unless_the_earlier_build_is_late_too() -> None:
-    """The design's latency breaker; without it only a level, which needs more evidence, speaks of slowness."""
+def test_a_trial_whose_median_is_late_for_three_bins_goes_back_unless_the_earlier_build_is_late_too() -> None:
+    """The latency breaker of the design; without it only the level, which needs more evidence, shows slowness."""
     for trial, earlier, bins, trips in (
         (1500.0, 100.0, 3, True),
         (1500.0, 100.0, 2, False),
@@ -133,15 +133,15 @@
         driver.tick(0.0)
         for server in driver.agent.servers.values():
             server.series.clear()
-        assert middle(driver, trial, earlier, bins).startswith("late class") is trips
+        assert breaker_after(driver, trial, earlier, bins).startswith("late class") is trips
 
 
 @pytest.mark.parametrize(("behave", "waits"), [(everything_slow, True), (good, False)])
-def test_an_agent_started_in_a_trial_casts_no_vote_on_before_it_knows_the_usual(
+def test_an_agent_started_in_a_trial_does_not_vote_on_before_it_knows_the_usual_latency(
     behave: Server,
     waits: bool,
 ) -> None:
-    """Without it one that starts in a jam takes the jam for the usual; answers well within the aim are no jam."""
+    """Without it, an agent started in an overload takes its latencies for usual ones. Quick answers rule it out."""
     driver = AgentDriver(servers=8)
     driver.agent = Agent(settings(), 3)
     driver.deliver(it.Started())
@@ -151,8 +151,8 @@
     assert it.Verdict.ON in {v.verdict for v in play(driver, behave, 15.0)}
 
 
-def test_errors_of_the_trial_that_are_not_yet_sure_hold_the_step() -> None:
-    """Without it a build that fails a little goes on while the breaker still gathers evidence."""
+def test_errors_of_the_trial_too_few_for_the_breaker_hold_the_step() -> None:
+    """Without it, a build with a few errors advances while the breaker still collects evidence."""
     driver = offered()
     driver.now += 2500.0
     trial = [driver.agent.servers[20]]
@@ -166,8 +166,8 @@
 
 
 def test_a_request_avoids_a_server_whose_oldest_attempt_has_long_been_out() -> None:
-    """Without it a server that stands still looks as good as one that answers until its time-outs come."""
+    """Without it, a stalled server looks as good as one that answers until its attempts time out."""
     driver = AgentDriver(servers=2)
-    one, two = driver.agent.servers[1], driver.agent.servers[2]
-    one.open_attempts, two.open_attempts = {(1, 0): driver.now - 3000.0}, {(2, 0): driver.now}
-    assert driver.agent._cost(one) > 2 * driver.agent._cost(two)
+    stalled, prompt = driver.agent.servers[1], driver.agent.servers[2]
+    stalled.open_attempts, prompt.open_attempts = {(1, 0): driver.now - 3000.0}, {(2, 0): driver.now}
+    assert driver.agent._cost(stalled) > 2 * driver.agent._cost(prompt)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,9 +1,8 @@
-"""All orders of a few events on a tiny fleet: the real module behind the real books of list and desk.
+"""All orders of a few events on a tiny fleet: the decision module behind the real registries of list and desk.
 
-Each set of events is played in every order, depth first from copies of the state; after each event the checker of
-`rule_checker` judges every action, and at the end time runs out and all that was taken must have had one final
-answer.
-What an event does depends on the state it meets: "answer" ends the oldest attempt that is out, if there is one.
+Each set of events is played in every order, depth first from copies of the state. After each event the checker of
+`rule_checker` judges every action; at the end time runs out and every request must have had one final answer. What
+an event does depends on the state: "answer" ends the oldest open attempt, if there is one.
 """
 
 from __future__ import annotations
@@ -18,7 +17,7 @@
 from blake3 import blake3
 from helpers import settings
 from rig import Rig, kind, service
-from rule_checker import RULES, Broken, RuleChecker
+from rule_checker import RULES, RuleChecker, RuleViolation
 from test_auditor import AllAreSafe, NeverCold, NeverDrains, NoCap, NoFinalAnswers
 
 from otterquay import interface as it
@@ -38,7 +37,7 @@
 
 
 class Agent:
-    """One agent, its books of list and desk, the judge's books, and what it has out."""
+    """One agent with its registries of list and desk, its rule checker and its open attempts."""
 
     def __init__(self, config: it.Settings, make: type[policy.Agent], seed: int, now: float) -> None:
         self.config, self.make, self.seed = config, make, seed
@@ -52,11 +51,11 @@
             FleetBook(ZONES),
             DeskBook(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
         )
-        self.out: list[tuple[int, int, int, float, float]] = []  # request, leg, server, sent, until
+        self.out: list[tuple[int, int, int, float, float]] = []  # request, attempt, server, sent at, until
         self.give(now, it.Started())
 
     def give(self, now: float, event: it.Event | None) -> None:
-        if event is None:  # heard before
+        if event is None:  # repeated news
             return
         self.checker.event(now, event)
         for action in self.agent.handle(now, event):
@@ -72,7 +71,7 @@
         self.give(now, it.Outcome(request, server, leg, status, max(now - sent, 1.0), over, ()))
 
     def list(self, now: float, *changed: news.Entry, base: int | None = -1, version: int | None = None) -> None:
-        """Tell changes to the list held, or with no base the whole list; an earlier version is passed over."""
+        """Send changes of the list, or with no base the whole list; an earlier version is ignored."""
         before, fresh = self.version, self.version + 1 if version is None else version
         if version is None:
             self.version = fresh
@@ -88,7 +87,7 @@
 
 
 class Play:
-    """One or two agents on one clock, and the events that a set may hold, by name."""
+    """One or two agents on one clock, with a method for each event that a set may name."""
 
     def __init__(self, make: type[policy.Agent], agents: int = 1, config: it.Settings = CONFIG) -> None:
         self.now, self.agents = BEGIN, [Agent(config, make, seed, BEGIN) for seed in range(agents)]
@@ -107,7 +106,7 @@
         for one in self.agents:
             getattr(self, name)(one)
         for one in self.agents:
-            one.checker.at(self.now)
+            one.checker.check_deadlines(self.now)
 
     # --- clients ---
     def _ask(self, one: Agent, cls: int, key: int = 0, budget: float = 1500.0) -> None:
@@ -128,7 +127,7 @@
         self._ask(one, 2, 8)
 
     def client_gone(self, one: Agent) -> None:
-        owed = [r for r, duty in one.checker.requests.items() if not duty.final_answers]
+        owed = [r for r, record in one.checker.requests.items() if not record.final_answers]
         if owed:
             one.give(self.now, it.Abandoned(owed[0]))
 
@@ -140,7 +139,7 @@
     def answer(self, one: Agent) -> None:
         self._end(one, it.Status.OK)
 
-    def late_answer(self, one: Agent) -> None:  # after all that came between
+    def late_answer(self, one: Agent) -> None:  # the newest open attempt first
         self._end(one, it.Status.OK, -1)
 
     def error(self, one: Agent) -> None:
@@ -163,13 +162,13 @@
         one.entries.pop(1, None)
         one.list(self.now, base=None)
 
-    def replaced(self, one: Agent) -> None:  # by the next build, cold
+    def replaced(self, one: Agent) -> None:  # by a cold server of the next build
         one.list(self.now, self.entry(1, 2, "south", life=1, age=50.0))
 
-    def restarted(self, one: Agent) -> None:  # the same build, its age not told
+    def restarted(self, one: Agent) -> None:  # the same build, without an age
         one.list(self.now, self.entry(2, 1, "south", life=1))
 
-    def stale(self, one: Agent) -> None:  # a list of before, late: server 1 as it was at first
+    def stale(self, one: Agent) -> None:  # an old list that comes late: server 1 as it was at first
         one.list(self.now, self.entry(1, 1, "north"), base=0, version=1)
 
     def trial(self, one: Agent) -> None:
@@ -194,7 +193,7 @@
     def released(self, one: Agent) -> None:
         one.stage(self.now, 2, 1, "released", 1.0)
 
-    # --- time; attempts time out on the way ---
+    # --- time; attempts time out meanwhile ---
     def _pass(self, one: Agent, end: float) -> None:
         while due := [(until, at) for at, (*_, until) in enumerate(one.out) if until <= end]:
             until, at = min(due)
@@ -213,24 +212,24 @@
 
     # --- the agent itself ---
     def killed(self, one: Agent, kept: bool = False) -> None:
-        """Started anew; what its store kept is taken from the judge's books, which go on where it kept it."""
+        """Restart the agent; what its store kept is taken from the rule checker, which then goes on as it is."""
         checker = one.checker
-        for duty in checker.requests.values():
-            duty.final_answers = duty.final_answers or 1  # its clients see the connection end
+        for record in checker.requests.values():
+            record.final_answers = record.final_answers or 1  # its clients see the connection close
         if not kept:
             one.checker = RuleChecker(one.config)
         one.begin(self.now)
         if kept:
-            newest = checker.caps[-1][1]
+            newest = checker.stages[-1][1]
             one.agent.handle(
                 self.now,
                 it.StageNews(max(newest - 1, 0), 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")),
             )
-            tried = tuple((build, cls, at) for at, build, cls in checker.tried)
-            one.give(self.now, it.Restored(tried, tuple(checker.kept.items())))
+            tried = tuple((build, cls, at) for at, build, cls in checker.trial_sends)
+            one.give(self.now, it.Restored(tried, tuple(checker.key_builds.items())))
         one.list(self.now, base=None)
-        if checker.caps[-1][1]:
-            _, build, stage, phase, cap = checker.caps[-1]
+        if checker.stages[-1][1]:
+            _, build, stage, phase, cap = checker.stages[-1]
             one.stage(self.now, build, stage, phase.name.lower(), cap)
 
     def killed_with_store(self, one: Agent) -> None:
@@ -240,13 +239,13 @@
         for _ in range(2):
             self.play("long")
         for one in self.agents:
-            owed = [r for r, duty in one.checker.requests.items() if duty.final_answers != 1]
+            owed = [r for r, record in one.checker.requests.items() if record.final_answers != 1]
             if owed or one.out or one.agent.pending_requests or one.agent.in_flight:
-                raise Broken("answered", f"{owed} without one final answer")
+                raise RuleViolation("answered", f"requests {owed} without exactly one final answer")
 
 
 def orders(names: Counter[str]) -> int:
-    """How many orders a set has."""
+    """Number of different orders of a set."""
     total, count = sum(names.values()), 1
     for n in range(2, total + 1):
         count *= n
@@ -259,9 +258,9 @@
 def search(
     names: list[str], make: type[policy.Agent] = policy.Agent, agents: int = 1, config: it.Settings = CONFIG
 ) -> tuple[int, int]:
-    """Play every order; returns how many orders and differing states there were. `Broken` names the order at fault.
+    """Play every order and return the numbers of orders and of different states; a `RuleViolation` names its order.
 
-    Two orders that lead to one state, to the bit, with the same events left go on alike and are played on once.
+    Two orders that lead to the same state, bit by bit, with the same events left are continued only once.
     """
     met: dict[tuple[bytes, frozenset[tuple[str, int]]], int] = {}
 
@@ -279,9 +278,9 @@
                     else:
                         met[at] += 1
                         play.finish()
-                except Broken as broken:
-                    if not hasattr(broken, "__notes__"):
-                        broken.add_note("after " + ", ".join((*path, name)))
+                except RuleViolation as violation:
+                    if not hasattr(violation, "__notes__"):
+                        violation.add_note("after " + ", ".join((*path, name)))
                     raise
         return met[at]
 
@@ -327,18 +326,18 @@
 @pytest.mark.parametrize("rule", RULES)
 def test_with_its_guard_out_an_order_is_found_that_breaks_the_rule(rule: str) -> None:
     make, name = GUARDS[rule]
-    with pytest.raises(Broken) as found:
+    with pytest.raises(RuleViolation) as found:
         search(*SETS[name][:1], make=make)
     assert found.value.rule == rule
 
 
-# --- a smaller set through the running agent, on simulated time ---
+# --- a smaller set through the running agent, in simulated time ---
 WHOLE = ("safe", "unsafe", "error", "drain", "offer")
 GRACE_S = 1.0
 
 
 async def played(order: tuple[str, ...], gap_s: float, decider: type[policy.Agent] = policy.Agent) -> list[str]:
-    """What is wrong with the traffic of one order; `error` lets all that servers hold fail."""
+    """Return what is wrong with the traffic of one order; `error` fails all requests that servers hold."""
     blocks = {"rules": {"drain_grace": "1s"}, "rollout": {"free": 1}}
     faults, ends, held = list[str](), list[asyncio.Task[str]](), list[tuple[Peer, HttpRequest]]()
     loop, drained, capped = asyncio.get_running_loop(), float("inf"), float("inf")
@@ -355,10 +354,10 @@
         async def ask(cls: str) -> str:
             try:
                 reader, writer = await rig.connect()
-            except OSError:  # the agent restarts just now
+            except OSError:  # the agent is restarting
                 return "closed"
             writer.write(rig.ask(cls, 1500, x_request_id=f"{cls}-{len(ends)}"))
-            found = await rig.answers(reader, 2)  # the second never comes: the read ends with the connection
+            found = await rig.answers(reader, 2)  # no second answer comes: the read ends with the connection
             if len(found) > 1:
                 faults.append(f"{len(found)} answers to {cls}")
             return kind(found[0]) if found else "closed"
@@ -387,7 +386,7 @@
                     rig.runtime.close()
                     await rig.up(rig.list.listener.address, rig.desk.listener.address)
             await asyncio.sleep(gap_s)
-        for _ in range(8):  # what is sent again goes on being failed; and time runs out
+        for _ in range(8):  # retries fail, too, until time runs out
             await fail_held()
             await asyncio.sleep(0.5)
         if rig.runtime.held:
@@ -397,17 +396,17 @@
         await asyncio.gather(*ends)
         for end in ends:
             if end.result() == "none" or (end.result() == "closed" and "restart" not in order):
-                faults.append(f"a client got {end.result()}")
+                faults.append(f"a client received {end.result()}")
     for id, times in Counter(id for _, _, id in arrived).items():
         if id.startswith(b"race") and times > 1:
             faults.append(f"{id.decode()} reached servers {times} times")
     faults += [
-        f"server 1 got {id.decode()} after its drain"
+        f"server 1 received {id.decode()} after its drain"
         for at, server, id in arrived
         if server == 1 and at > drained + GRACE_S + 0.1
     ]
     faults += [
-        f"server 3 got {id.decode()} at cap 0"
+        f"server 3 received {id.decode()} at cap 0"
         for at, server, id in arrived
         if server == 3 and at > capped + GRACE_S + 0.1
     ]
--- a/tests/test_scoring.py
+++ b/tests/test_scoring.py
@@ -1,4 +1,4 @@
-"""The pure functions against values worked by hand and against scipy."""
+"""The scoring functions against values computed by hand and against scipy."""
 
 import math
 import random
@@ -19,9 +19,9 @@
 
 
 def test_dtw_by_hand() -> None:
-    assert dtw([0, 1, 0], [0, 0, 1, 0]) == 0.0  # a shift costs nothing
+    assert dtw([0, 1, 0], [0, 0, 1, 0]) == 0.0  # a shift in time costs nothing
     assert dtw([0, 0], [1, 1]) == 2.0
-    assert dtw([0, 1], [1, 0]) == 2.0  # every path pays at both corners
+    assert dtw([0, 1], [1, 0]) == 2.0  # every path pays at both ends
     assert dtw([0, 2, 0], [0, 1, 0]) == 1.0
 
 
@@ -40,15 +40,15 @@
 
 
 def test_settled_is_a_t_test_at_five_per_cent_as_in_scipy() -> None:
-    rng, told = random.Random(5), {True: 0, False: 0}
+    rng, counts = random.Random(5), {True: 0, False: 0}
     for shift in (0.0, 0.8, 1.5, 3.0) * 20:
         for size in range(4, 13):
             points = [rng.gauss(0 if i < size // 2 else shift, 1) for i in range(size)]
             p = stats.ttest_ind(points[: size // 2], points[size // 2 :]).pvalue
-            if abs(p - 0.05) > 0.001:  # the limits are rounded
+            if abs(p - 0.05) > 0.001:  # the critical values are rounded
                 assert settled(points) is bool(p >= 0.05)
-                told[bool(p >= 0.05)] += 1
-    assert min(told.values()) > 50
+                counts[bool(p >= 0.05)] += 1
+    assert min(counts.values()) > 50
 
 
 def test_settled_needs_points_and_alike_halves() -> None:
@@ -60,8 +60,8 @@
 
 
 @pytest.mark.parametrize(("n", "x", "p"), [(10, 3, 0.05), (40, 8, 0.02), (500, 20, 0.03), (5, 5, 0.5), (7, 0, 0.1)])
-def test_tail_against_scipy_and_never_too_sure(n: int, x: int, p: float) -> None:
-    if p <= 0.05:  # of rare errors Poisson's law thinks them no rarer than they are
+def test_tail_against_scipy_never_underestimates(n: int, x: int, p: float) -> None:
+    if p <= 0.05:  # for rare errors the Poisson distribution does not underestimate the tail
         assert tail(n, x, p) >= stats.binom.sf(x - 1, n, p) - 1e-12
     assert tail(n, x, p) == pytest.approx(stats.poisson.sf(x - 1, n * p), abs=1e-12)
 
--- a/tests/test_tapes.py
+++ b/tests/test_tapes.py
@@ -1,4 +1,4 @@
-"""The decisions answer drawn events as they did when these digests were written, action by action."""
+"""The agents answer recorded tapes of random events with the same actions as when the digests were recorded."""
 
 from __future__ import annotations
 
@@ -43,21 +43,21 @@
     assert Tape(FLEETS[name], int(seed), Agent).run(SECONDS) == RECORDED[run]
 
 
-class Nearer(Agent):
-    """The crossing of zones costs a hair more: one of many choices falls otherwise."""
+class DearerZoneCrossing(Agent):
+    """Crossing zones costs slightly more, which changes one of many choices."""
 
     def _cost(self, server: Server) -> float:
         return super()._cost(server) * (1.0 + 1e-3 * (server.entry.zone != self.settings.zone))
 
 
-class Later(Agent):
-    """A build's series settle one point later."""
+class LaterVote(Agent):
+    """The scores of a build settle one bin later."""
 
     def _enough_evidence(self, trial: list[Server], earlier: list[Server]) -> bool:
         return len(self.bin_scores) != 4 and super()._enough_evidence(trial, earlier)
 
 
-@pytest.mark.parametrize("other", [Nearer, Later])
+@pytest.mark.parametrize("other", [DearerZoneCrossing, LaterVote])
 def test_a_small_change_of_the_decisions_is_seen(other: type[Agent]) -> None:
     assert any(
         Tape(config, seed, other).run(SECONDS) != RECORDED[f"{name} {seed}"]
--- a/tests/test_votes.py
+++ b/tests/test_votes.py
@@ -1,4 +1,4 @@
-"""What is voted, by event sequences that play servers of an earlier and a trial build."""
+"""Votes on a build, by event sequences that play servers of an earlier build and of a build on trial."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 from otterquay import interface as it
 
-Server = Callable[[int, int, random.Random], tuple[it.Status, float]]  # server, class, chance: outcome, ms
+Server = Callable[
+    [int, int, random.Random], tuple[it.Status, float]
+]  # server, class, random source: outcome, latency in ms
 
 
 def good(server: int, cls: int, rng: random.Random) -> tuple[it.Status, float]:
@@ -34,7 +36,7 @@
     return it.Status.OK, rng.lognormvariate(4.6, 0.5) * (2.0 if server < 20 else 1.0)
 
 
-def earlier_fails_and_all_wait(server: int, cls: int, rng: random.Random) -> tuple[it.Status, float]:
+def earlier_fails_and_all_are_slow(server: int, cls: int, rng: random.Random) -> tuple[it.Status, float]:
     failed = server < 20 and rng.random() < 0.1
     return it.Status.ERROR if failed else it.Status.OK, rng.lognormvariate(4.6, 0.5) * 1.8
 
@@ -54,35 +56,39 @@
 def play(
     driver: AgentDriver, behave: Server, seconds: float, rate: float = 60.0, start: int = 0
 ) -> list[it.CastVote]:
-    """Requests at a rate, answered after their latency; the votes cast meanwhile."""
-    rng, before, due = random.Random(3), len(driver.actions), list[tuple[float, it.Send, it.Status, float]]()
-    kinds: dict[int, int] = {}
+    """Send requests at a rate, answer them after their latency, and return the votes cast meanwhile."""
+    rng, actions_before, due = (
+        random.Random(3),
+        len(driver.actions),
+        list[tuple[float, it.Send, it.Status, float]](),
+    )
+    classes: dict[int, int] = {}
     last_tick, end = driver.now, driver.now + 1000.0 * seconds
 
-    def out(actions: list[it.Action]) -> None:
+    def schedule_answers(actions: list[it.Action]) -> None:
         for send in sends(actions):
-            status, latency = behave(send.server, kinds[send.request], rng)
+            status, latency = behave(send.server, classes[send.request], rng)
             due.append((driver.now + latency, send, status, latency))
 
     while driver.now < end:
         driver.now += 1000.0 / rate
         cls = rng.choices([0, 1, 2], [5, 3, 2])[0]
-        kinds[driver.last_request + 1] = cls
-        out(driver.ask(cls=cls)[1])
+        classes[driver.last_request + 1] = cls
+        schedule_answers(driver.ask(cls=cls)[1])
         for item in sorted(due, key=lambda x: x[0]):
             if item[0] <= driver.now:
                 due.remove(item)
-                out(driver.end(item[1], item[2], item[3]))
+                schedule_answers(driver.end(item[1], item[2], item[3]))
         if driver.now - last_tick >= 50.0:
             last_tick = driver.now
-            out(driver.deliver(it.TimerFired(0)))
-    return [a for a in driver.actions[before:] if isinstance(a, it.CastVote)]
+            schedule_answers(driver.deliver(it.TimerFired(0)))
+    return [a for a in driver.actions[actions_before:] if isinstance(a, it.CastVote)]
 
 
 def offered(
     stage: int = 0, cap: float = 0.14, trials: int = 1, seed: int = 1, config: it.Settings = SETTINGS
 ) -> AgentDriver:
-    """An agent with eight earlier servers and eight good seconds behind it, and a build just offered."""
+    """Return an agent after eight good seconds on eight earlier servers, with a new build just offered."""
     driver = AgentDriver(config, servers=8, seed=seed)
     play(driver, good, 8.0)
     driver.update_stage(2, stage, it.Phase.TRIAL, cap)
@@ -110,41 +116,41 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_one_failing_class_goes_back(seed: int) -> None:
-    """Scaling and the mean over classes hide it; the breaker does not."""
+    """Scaling and the mean over classes hide the failures; the breaker shows them."""
     votes = trial(one_class_fails, seed=seed, seconds=30.0)
     assert votes and votes[-1].verdict is it.Verdict.BACK
 
 
-def test_a_slowdown_of_all_servers_is_no_bad_build() -> None:
+def test_a_slowdown_of_all_servers_is_not_blamed_on_the_build() -> None:
     assert it.Verdict.BACK not in {v.verdict for v in trial(everything_slow)}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_good_trial_is_not_held_for_an_earlier_build_that_turns_slow(seed: int) -> None:
-    """The earlier build alone was looked at: it sent back the build that was to replace it."""
+    """Only the earlier build was looked at, so its slowness sent back the build that was to replace it."""
     driver = offered(stage=1, cap=0.5, trials=6, seed=seed)
     votes = play(driver, earlier_turns_slow, 25.0)
     assert {v.verdict for v in votes} == {it.Verdict.ON}
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_good_trial_is_not_held_where_the_earlier_build_fails_and_jams_both(seed: int) -> None:
+def test_a_good_trial_is_not_held_where_the_earlier_build_fails_and_delays_both(seed: int) -> None:
     driver = offered(stage=1, cap=0.5, trials=6, seed=seed)
-    votes = play(driver, earlier_fails_and_all_wait, 25.0)
+    votes = play(driver, earlier_fails_and_all_are_slow, 25.0)
     assert {v.verdict for v in votes} == {it.Verdict.ON}
 
 
-def test_a_failing_earlier_machine_is_no_bad_build() -> None:
+def test_a_failing_machine_of_the_earlier_build_is_not_blamed_on_the_trial() -> None:
     assert it.Verdict.BACK not in {v.verdict for v in trial(one_earlier_machine_fails)}
 
 
-def test_one_failing_machine_among_trial_servers_is_no_bad_build() -> None:
+def test_one_failing_machine_among_trial_servers_is_not_blamed_on_the_build() -> None:
     driver = offered(stage=1, cap=0.7, trials=4)
     assert it.Verdict.BACK not in {v.verdict for v in play(driver, one_trial_machine_fails, 15.0)}
 
 
 def test_a_released_build_that_turns_bad_goes_back_without_earlier_servers() -> None:
-    """In place, the earlier servers have gone: the last earlier error share stays as the baseline."""
+    """The earlier servers have gone; the last error share of the earlier build stays as the baseline."""
     driver = AgentDriver(servers=4)
     play(driver, good, 8.0)
     driver.update_stage(2, 1, it.Phase.TRIAL, 1.0)
@@ -186,47 +192,47 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_judge_of_many_agents_does_not_leave_a_good_build_to_chance(seed: int) -> None:
-    """Judges alone vote on: were the draw over all 182 agents, more than half would stay silent for 10 s."""
+def test_an_evaluator_of_many_agents_does_not_leave_a_good_build_to_chance(seed: int) -> None:
+    """Only evaluators vote on: with a draw over all 182 agents, more than half would cast no vote for 10 s."""
     changes = {"limits": {"peers": True}, "rollout": {"calls_per_s": 16.0, "vote_life_ms": 10000.0}}
     votes = trial(good, seconds=9.0, seed=seed, agents=182, **changes)
     assert votes and votes[0] == it.CastVote(2, 0, it.Verdict.ON)
 
 
-def test_a_peers_words_that_do_not_fit_are_passed_over() -> None:
+def test_malformed_peer_messages_are_ignored() -> None:
     driver = AgentDriver(settings(agents=2, limits={"peers": True}))
     for data in (b"", b"hello", bytes(256)):
         assert driver.deliver(it.PeerMessage(1, data)) == []
 
 
-def tallied(own: int) -> AgentDriver:
-    """One of fifty agents that may not talk, with own errors at a trial server and tallies of more."""
+def tallied(own_errors: int) -> AgentDriver:
+    """Return one of fifty agents without peer messages; it has own errors at a trial server and tallies of more."""
     driver = AgentDriver(settings(agents=50, rollout={"tally_ms": 2000.0}), servers=8)
     driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
     driver.update_list(entry(20, build=2, started=driver.now))
     for _ in range(400):
         for send in sends(driver.ask()[1]):
-            bad = send.server == 20 and own > 0
-            own -= bad
+            bad = send.server == 20 and own_errors > 0
+            own_errors -= bad
             driver.end(send, it.Status.ERROR if bad else it.Status.OK, over=True)
         driver.tick(20.0)
-    assert own <= 0
+    assert own_errors <= 0
     driver.deliver(it.Tally(1, 0, 200, 0, 100.0, 500.0))
     driver.deliver(it.Tally(2, 0, 20, 12, 100.0, 500.0))
     return driver
 
 
-def test_tallies_tell_of_a_failing_class() -> None:
-    assert [v.verdict for v in play(tallied(own=3), good, 1.0)] == [it.Verdict.BACK]
+def test_tallies_and_own_errors_show_a_failing_class() -> None:
+    assert [v.verdict for v in play(tallied(own_errors=3), good, 1.0)] == [it.Verdict.BACK]
 
 
 def test_tallies_alone_send_nothing_back() -> None:
-    """They count time-outs and refused connections too: own errors must bear them out."""
-    assert not play(tallied(own=0), good, 1.0)
+    """Tallies count time-outs and refused connections, too, so errors of the agent itself must confirm them."""
+    assert not play(tallied(own_errors=0), good, 1.0)
 
 
 def test_a_vote_that_was_lost_is_cast_again() -> None:
-    driver = tallied(own=3)
+    driver = tallied(own_errors=3)
     assert len(play(driver, good, 1.0)) == 1
     driver.deliver(it.StageNews(0, 0, it.Phase.TRIAL, True, it.Status.TIMEOUT, 0.0, 0.0))
     assert len(play(driver, good, 1.5)) == 1
@@ -254,7 +260,7 @@
 
 
 def test_no_step_on_while_all_servers_are_slower_than_before() -> None:
-    """A burst, a shared slowdown, or a build that slows old and new alike: the picture must clear first."""
+    """A burst, a shared slowdown or a build that slows all servers: the cause must become clear first."""
     assert trial(everything_slow) == []
 
 
@@ -265,12 +271,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_trial_that_only_runs_into_time_outs_stops_no_agent(seed: int) -> None:
-    """A build answers nothing while the earlier one is slower than it was: a bin's end raised ZeroDivisionError.
+def test_a_trial_with_nothing_but_time_outs_stops_no_agent(seed: int) -> None:
+    """The end of a bin raised ZeroDivisionError where a build answered nothing and the earlier one got slower.
 
-    The exception came before the next timer was asked for, so the agent ended no bin any more: no vote, no health
-    regained, no new order of servers, until it was restarted. Seen first as a traceback of a drawn fleet, in
-    `_breaker`: time-outs count as levels, of which it had twenty, but not as outcomes, by whose number it divided.
+    `_breaker` divided by the number of outcomes, but time-outs count as levels only. The exception came before the
+    next timer was set, so the agent closed no bin any more until its restart: no votes, no recovery of health.
     """
     driver = AgentDriver(seed=seed, servers=8)
     play(driver, good, 10.0)
@@ -280,8 +285,8 @@
     assert any(isinstance(action, it.SetTimer) for action in driver.tick(500.0))
 
 
-def test_idle_earlier_servers_are_no_measure() -> None:
-    """Late in a trial the earlier servers hold little and answer quicker than before the offer."""
+def test_idle_earlier_servers_are_not_a_baseline_for_latency() -> None:
+    """Late in a trial the earlier servers have little load and answer quicker than before the offer."""
 
     def idle(server: int, cls: int, rng: random.Random) -> tuple[it.Status, float]:
         return it.Status.OK, rng.lognormvariate(4.6, 0.5) * (1.0 if server >= 20 else 0.35)
@@ -290,37 +295,39 @@
     assert it.Verdict.BACK not in {v.verdict for v in play(driver, idle, 20.0)}
 
 
-def bins(driver: AgentDriver, count: int, trial: tuple[int, float], earlier: tuple[int, float]) -> set[it.Verdict]:
-    """So many bins in which servers of each build gave so many answers at a log latency over the usual."""
-    before, at = len(driver.actions), 4 * driver.agent.class_count
+def play_bins(
+    driver: AgentDriver, count: int, trial: tuple[int, float], earlier: tuple[int, float]
+) -> set[it.Verdict]:
+    """Play bins with, per build, a number of answers at a log latency over the usual; return the verdicts cast."""
+    actions_before, levels = len(driver.actions), 4 * driver.agent.class_count
     for _ in range(count):
-        for i, (n, level) in ((at, trial), (at + 2, earlier)):
+        for i, (n, level) in ((levels, trial), (levels + 2, earlier)):
             driver.agent.own_row[i] += n
             driver.agent.own_row[i + 1] += n * level
         driver.agent.own_row[0] += trial[0]
         driver.tick(500.0)
-    return {a.verdict for a in driver.actions[before:] if isinstance(a, it.CastVote)}
+    return {a.verdict for a in driver.actions[actions_before:] if isinstance(a, it.CastVote)}
 
 
 @pytest.mark.parametrize(("earlier", "back"), [(1.8, False), (0.0, True)])
-def test_levels_are_compared_within_their_own_time(earlier: float, back: bool) -> None:
-    """Most of what the earlier build answered was before the load came, as few of its servers are left."""
+def test_levels_are_compared_within_the_same_bins(earlier: float, back: bool) -> None:
+    """Most answers of the earlier build came before the load rose, as few of its servers are left."""
     driver = offered(stage=1, cap=1.0, trials=6)
-    bins(driver, 16, (10, 0.0), (50, 0.0))
-    assert (it.Verdict.BACK in bins(driver, 20, (60, 2.0), (5, earlier))) is back
+    play_bins(driver, 16, (10, 0.0), (50, 0.0))
+    assert (it.Verdict.BACK in play_bins(driver, 20, (60, 2.0), (5, earlier))) is back
 
 
 @pytest.mark.parametrize("gone", [False, True])
-def test_stragglers_of_an_earlier_build_that_has_gone_hold_no_step(gone: bool) -> None:
+def test_late_answers_of_an_earlier_build_that_has_gone_hold_no_step(gone: bool) -> None:
     driver = offered(stage=1, cap=1.0, trials=6)
-    bins(driver, 8, (30, 0.3), (30, 0.0))
+    play_bins(driver, 8, (30, 0.3), (30, 0.0))
     if gone:
         driver.update_list(*[entry(i, state=it.ServerState.GONE) for i in range(1, 9)])
-    bins(driver, 3, (30, 0.3), (20, 1.5))
+    play_bins(driver, 3, (30, 0.3), (20, 1.5))
     assert bool(driver.agent.slower_bins) is not gone
 
 
-def test_an_on_vote_is_taken_back_when_its_grounds_fall_away() -> None:
+def test_an_on_vote_is_withdrawn_when_its_evidence_no_longer_holds() -> None:
     driver = offered()
     assert {v.verdict for v in play(driver, good, 15.0)} == {it.Verdict.ON}
     assert play(driver, everything_slow, 6.0)[-1].verdict is it.Verdict.NONE
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -1,4 +1,4 @@
-"""How much work a decision takes, counted in questions to the gate, not in time; and the module's bounds."""
+"""How much work a decision takes, counted in rule checks and instructions; and what the module may import."""
 
 from __future__ import annotations
 
@@ -16,48 +16,48 @@
 
 
 def refused(servers: int, monkeypatch: pytest.MonkeyPatch) -> int:
-    """Questions to the gate for one refusal where all servers are on trial and the cap is used up."""
+    """Number of rule checks for one refusal where all servers are on trial and the cap is used up."""
     driver = AgentDriver(settings(), servers=0)
     driver.update_list(*[entry(i, build=2) for i in range(1, servers + 1)], kind=it.ListKind.FULL)
     driver.update_stage(2, 0, it.Phase.TRIAL, 0.14)
     while sends(driver.ask()[1]):
         pass
-    asked = 0
-    gate, window = Agent.may_send, Agent._exposure
+    checks = 0
+    may_send, exposure = Agent.may_send, Agent._exposure
 
-    def counted(*given: object) -> bool:
-        nonlocal asked
-        asked += 1
-        return gate(*given)  # type: ignore[arg-type]
+    def counted_may_send(*args: object) -> bool:
+        nonlocal checks
+        checks += 1
+        return may_send(*args)  # type: ignore[arg-type]
 
-    def looked(*given: object) -> tuple[int, int]:
-        nonlocal asked
-        asked += 1
-        return window(*given)  # type: ignore[arg-type]
+    def counted_exposure(*args: object) -> tuple[int, int]:
+        nonlocal checks
+        checks += 1
+        return exposure(*args)  # type: ignore[arg-type]
 
-    monkeypatch.setattr(Agent, "may_send", counted)
-    monkeypatch.setattr(Agent, "_exposure", looked)
+    monkeypatch.setattr(Agent, "may_send", counted_may_send)
+    monkeypatch.setattr(Agent, "_exposure", counted_exposure)
     _, actions = driver.ask()
     monkeypatch.undo()
     assert any(isinstance(a, it.Refuse) for a in actions)
-    return asked
+    return checks
 
 
-def test_a_refusal_under_a_cap_used_up_asks_no_more_in_a_large_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each refusal once asked the gate of every server up to three times: 1 ms at 48 servers."""
+def test_a_refusal_by_the_cap_takes_no_more_checks_in_a_large_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each refusal once checked the rules of every server up to three times, which took 1 ms at 48 servers."""
     small, large = refused(12, monkeypatch), refused(200, monkeypatch)
     assert small == large <= 12
 
 
-def test_a_build_that_is_open_is_still_asked_server_by_server(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_build_without_a_cap_is_still_checked_server_by_server(monkeypatch: pytest.MonkeyPatch) -> None:
     driver = AgentDriver(settings(), servers=0)
     driver.update_list(*[entry(i, build=2 + i % 2) for i in range(1, 13)], kind=it.ListKind.FULL)
     driver.update_stage(3, 0, it.Phase.TRIAL, 0.14)
     sent = [s.server for _ in range(50) for s in sends(driver.ask()[1])]
-    assert {s % 2 for s in sent} >= {0}, "the earlier build is open while the newer one is shut"
+    assert {s % 2 for s in sent} >= {0}, "the earlier build is used while the cap of the newer one is used up"
 
 
-def test_the_deploy_file_names_each_file_of_the_decisions_and_they_import_the_standard_library_alone() -> None:
+def test_the_deploy_file_names_each_file_of_the_decision_module_which_imports_only_the_standard_library() -> None:
     root = Path(policy.__file__).parents[2]
     named = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["policy"]
     assert sorted(named) == sorted(f"otterquay/policy/{p.name}" for p in Path(policy.__file__).parent.glob("*.py"))
@@ -66,25 +66,27 @@
     assert imports <= {"math", "random", "struct", "bisect", "collections", "statistics", "otterquay"}
 
 
-def test_work_grows_with_the_fleet_only_where_all_of_it_must_be_looked_at() -> None:
-    """Bytecode instructions at 48 and at 480 servers. A tally once looked at every server."""
+def test_work_grows_with_the_fleet_only_where_every_server_counts() -> None:
+    """Counts bytecode instructions at 48 and 480 servers. A tally once visited every server."""
     small, large = steps(48), steps(480)
     grown = {what: large[what] / small[what] for what in small}
-    assert grown["request"] < 1.1 and grown["tally"] < 1.1, "a request and a tally look at few servers"
-    assert grown["verdict"] < 10 and grown["change"] < 10 and grown["refusal"] < 10, "no more than all, once"
+    assert grown["request"] < 1.1 and grown["tally"] < 1.1, "a request and a tally visit few servers"
+    assert grown["verdict"] < 10 and grown["change"] < 10 and grown["refusal"] < 10, (
+        "each server is visited at most once"
+    )
     pairs = 2 * 2 * 2 * PAIRS_PER_BIN  # metrics of two classes, trial and baseline
     assert small["verdict"] < pairs * 4000, "most of a verdict is a fixed number of pairs"
 
 
-def test_work_does_not_grow_with_the_agents_told_of() -> None:
-    few, many = steps(48, 540), steps(48, 5400)
-    assert few == many
+def test_work_does_not_grow_with_the_number_of_agents() -> None:
+    small, large = steps(48, 540), steps(48, 5400)
+    assert small == large
 
 
 def test_a_verdict_after_many_errors_costs_no_more_than_after_few() -> None:
-    def after(errors: float) -> int:
+    def verdict_instructions_after(errors: float) -> int:
         driven = Driven(48)
         driven.agent._add_evidence(driven.agent.own_row, 2, 0, 2 * errors, errors)
         return instructions(driven.verdict)
 
-    assert after(1e6) < 1.2 * after(10.0)
+    assert verdict_instructions_after(1e6) < 1.2 * verdict_instructions_after(10.0)
