--- a/otterquay/policy/votes.py
+++ b/otterquay/policy/votes.py
@@ -13,8 +13,8 @@
 MIN_TRIAL_OUTCOMES = 20
 # Part of a stage's servers that must have been seen before the next step.
 MIN_SERVERS_SEEN_PART = 0.7
-# Lost share of the requests above which a class counts as jammed.
-JAM_LOST_SHARE = 0.2
+# Lost share of the requests above which a class counts as overloaded.
+OVERLOAD_LOST_SHARE = 0.2
 
 
 class Voting(Breaker):
@@ -48,11 +48,11 @@
         served_classes = [
             c
             for c, (sent, useful) in enumerate(self.sent_and_useful[: self.class_count])
-            if useful >= (1 - JAM_LOST_SHARE) * sent
+            if useful >= (1 - OVERLOAD_LOST_SHARE) * sent
         ]
-        jammed = (
+        overloaded = (
             not served_classes
-            or min(old_errors / max(old_n, 1) for _, _, old_n, old_errors in pools[1][0]) > JAM_LOST_SHARE
+            or min(old_errors / max(old_n, 1) for _, _, old_n, old_errors in pools[1][0]) > OVERLOAD_LOST_SHARE
         )
         failing = self.errors_widespread and any(
             errors > max(1.5, 2 * ERROR_MARGIN * n, 2 * old_errors / max(old_n, 1) * n)
@@ -68,9 +68,11 @@
         trial_n, _, earlier_n, earlier_sum, *_ = pools[0][1]
         # After the first stage, warm latencies of the trial are needed where the earlier build has them.
         lacks_levels = self.stage_news.stage and earlier_n >= MIN_LEVEL_LATENCIES > trial_n
-        # No wait after a start where the earlier build answers well within the aim: that is no jam.
+        # No wait after a start where the earlier build answers well within the aim: that is no overload.
         settling = self.now < self.settle_until and not (earlier_n >= MIN_LEVEL_LATENCIES and earlier_sum <= 0)
-        return seen and not (too_few_servers or lacks_levels or jammed or failing or self.slower_bins or settling)
+        return seen and not (
+            too_few_servers or lacks_levels or overloaded or failing or self.slower_bins or settling
+        )
 
     def _vote(self, verdict: it.Verdict, why: str) -> None:
         """Cast a vote by a random draw, once per lifetime of a vote. Prescribed by the published design."""
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -40,50 +40,54 @@
     """One agent with its registries of list and desk, its rule checker and its open attempts."""
 
     def __init__(self, config: it.Settings, make: type[policy.Agent], seed: int, now: float) -> None:
-        self.config, self.make, self.seed = config, make, seed
-        self.checker, self.desk_number, self.version, self.ids = RuleChecker(config), 0, 0, 0
+        self.config, self.make_agent, self.seed = config, make, seed
+        self.checker, self.desk_number, self.version, self.last_request = RuleChecker(config), 0, 0, 0
         self.entries: dict[int, news.Entry] = {}
-        self.begin(now)
+        self.start(now)
 
-    def begin(self, now: float) -> None:
-        self.agent = self.make(self.config, self.seed)
+    def start(self, now: float) -> None:
+        self.agent = self.make_agent(self.config, self.seed)
         self.fleet, self.desk = (
             FleetBook(ZONES),
             DeskBook(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
         )
-        self.out: list[tuple[int, int, int, float, float]] = []  # request, attempt, server, sent at, until
-        self.give(now, it.Started())
+        self.open_attempts: list[
+            tuple[int, int, int, float, float]
+        ] = []  # request, attempt, server, sent at, until
+        self.deliver(now, it.Started())
 
-    def give(self, now: float, event: it.Event | None) -> None:
+    def deliver(self, now: float, event: it.Event | None) -> None:
         if event is None:  # repeated news
             return
         self.checker.event(now, event)
         for action in self.agent.handle(now, event):
             self.checker.action(now, action)
             if isinstance(action, it.Send):
-                leg = len(self.checker.requests[action.request].attempts) - 1
+                attempt = len(self.checker.requests[action.request].attempts) - 1
                 until = min(action.until_ms, self.checker.requests[action.request].deadline)
-                self.out.append((action.request, leg, action.server, now, until))
+                self.open_attempts.append((action.request, attempt, action.server, now, until))
 
     def end(self, now: float, at: int, status: it.Status) -> None:
-        request, leg, server, sent, _ = self.out.pop(at)
+        request, attempt, server, sent, _ = self.open_attempts.pop(at)
         over = bool(self.checker.requests[request].final_answers) or status is it.Status.OK
-        self.give(now, it.Outcome(request, server, leg, status, max(now - sent, 1.0), over, ()))
+        self.deliver(now, it.Outcome(request, server, attempt, status, max(now - sent, 1.0), over, ()))
 
-    def list(self, now: float, *changed: news.Entry, base: int | None = -1, version: int | None = None) -> None:
+    def update_list(
+        self, now: float, *changed: news.Entry, base: int | None = -1, version: int | None = None
+    ) -> None:
         """Send changes of the list, or with no base the whole list; an earlier version is ignored."""
-        before, fresh = self.version, self.version + 1 if version is None else version
+        old_version, new_version = self.version, self.version + 1 if version is None else version
         if version is None:
-            self.version = fresh
+            self.version = new_version
             self.entries.update({e.server: e for e in changed})
-        whole = list(self.entries.values()) if base is None else list(changed)
-        told = news.FleetNews(fresh, whole, before if base == -1 else base)
-        self.give(now, self.fleet.heard(f"l:{fresh}", told, now))
+        entries = list(self.entries.values()) if base is None else list(changed)
+        event = news.FleetNews(new_version, entries, old_version if base == -1 else base)
+        self.deliver(now, self.fleet.heard(f"l:{new_version}", event, now))
 
-    def stage(self, now: float, build: int, stage: int, phase: str, cap: float) -> None:
+    def update_stage(self, now: float, build: int, stage: int, phase: str, cap: float) -> None:
         self.desk_number += 1
-        told = news.Stage(build, stage, phase, cap, 0.0)  # type: ignore[arg-type]
-        self.give(now, self.desk.heard(f"d:{self.desk_number}", "stage", msgspec.json.encode(told), now))
+        event = news.Stage(build, stage, phase, cap, 0.0)  # type: ignore[arg-type]
+        self.deliver(now, self.desk.heard(f"d:{self.desk_number}", "stage", msgspec.json.encode(event), now))
 
 
 class Play:
@@ -93,14 +97,20 @@
         self.now, self.agents = BEGIN, [Agent(config, make, seed, BEGIN) for seed in range(agents)]
         begin = [self.entry(1, 1, "north"), self.entry(2, 1, "south"), self.entry(3, 1, "north")]
         for one in self.agents:
-            one.list(self.now, *begin, base=None)
-            one.stage(self.now, 1, 0, "released", 1.0)
+            one.update_list(self.now, *begin, base=None)
+            one.update_stage(self.now, 1, 0, "released", 1.0)
 
     def entry(
-        self, server: int, build: int, zone: str, state: str = "ready", life: int = 0, age: float | None = None
+        self,
+        server: int,
+        build: int,
+        zone: str,
+        state: str = "ready",
+        incarnation: int = 0,
+        age: float | None = None,
     ) -> news.Entry:
         address = f"127.0.0.1:{9000 + server}"
-        return news.Entry(server, zone, state, build, address, 10 * server + life, age_ms=age)  # type: ignore[arg-type]
+        return news.Entry(server, zone, state, build, address, 10 * server + incarnation, age_ms=age)  # type: ignore[arg-type]
 
     def play(self, name: str) -> None:
         for one in self.agents:
@@ -110,8 +120,8 @@
 
     # --- clients ---
     def _ask(self, one: Agent, cls: int, key: int = 0, budget: float = 1500.0) -> None:
-        one.ids += 1
-        one.give(self.now, it.Request(one.ids, cls, 0, key, budget, 0.0, False, False, cls > 0))
+        one.last_request += 1
+        one.deliver(self.now, it.Request(one.last_request, cls, 0, key, budget, 0.0, False, False, cls > 0))
 
     def safe(self, one: Agent) -> None:
         self._ask(one, 0)
@@ -129,11 +139,11 @@
     def client_gone(self, one: Agent) -> None:
         owed = [r for r, record in one.checker.requests.items() if not record.final_answers]
         if owed:
-            one.give(self.now, it.Abandoned(owed[0]))
+            one.deliver(self.now, it.Abandoned(owed[0]))
 
     # --- servers ---
     def _end(self, one: Agent, status: it.Status, at: int = 0) -> None:
-        if one.out:
+        if one.open_attempts:
             one.end(self.now, at, status)
 
     def answer(self, one: Agent) -> None:
@@ -153,52 +163,52 @@
 
     # --- the list ---
     def drain(self, one: Agent) -> None:
-        one.list(self.now, self.entry(1, 1, "north", "draining"))
+        one.update_list(self.now, self.entry(1, 1, "north", "draining"))
 
     def gone(self, one: Agent) -> None:
-        one.list(self.now, self.entry(1, 1, "north", "gone"))
+        one.update_list(self.now, self.entry(1, 1, "north", "gone"))
 
     def missing(self, one: Agent) -> None:
         one.entries.pop(1, None)
-        one.list(self.now, base=None)
+        one.update_list(self.now, base=None)
 
     def replaced(self, one: Agent) -> None:  # by a cold server of the next build
-        one.list(self.now, self.entry(1, 2, "south", life=1, age=50.0))
+        one.update_list(self.now, self.entry(1, 2, "south", incarnation=1, age=50.0))
 
     def restarted(self, one: Agent) -> None:  # the same build, without an age
-        one.list(self.now, self.entry(2, 1, "south", life=1))
+        one.update_list(self.now, self.entry(2, 1, "south", incarnation=1))
 
     def stale(self, one: Agent) -> None:  # an old list that comes late: server 1 as it was at first
-        one.list(self.now, self.entry(1, 1, "north"), base=0, version=1)
+        one.update_list(self.now, self.entry(1, 1, "north"), base=0, version=1)
 
     def trial(self, one: Agent) -> None:
-        one.list(self.now, self.entry(9, 2, "north", age=5000.0))
+        one.update_list(self.now, self.entry(9, 2, "north", age=5000.0))
 
     # --- the desk ---
     def offered(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "trial", 0.2)
+        one.update_stage(self.now, 2, 0, "trial", 0.2)
 
     def raised(self, one: Agent) -> None:
-        one.stage(self.now, 2, 1, "trial", 1.0)
+        one.update_stage(self.now, 2, 1, "trial", 1.0)
 
     def lowered(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "trial", 0.05)
+        one.update_stage(self.now, 2, 0, "trial", 0.05)
 
     def back(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "going_back", 0.0)
+        one.update_stage(self.now, 2, 0, "going_back", 0.0)
 
     def withdrawn(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "withdrawn", 0.0)
+        one.update_stage(self.now, 2, 0, "withdrawn", 0.0)
 
     def released(self, one: Agent) -> None:
-        one.stage(self.now, 2, 1, "released", 1.0)
+        one.update_stage(self.now, 2, 1, "released", 1.0)
 
     # --- time; attempts time out meanwhile ---
     def _pass(self, one: Agent, end: float) -> None:
-        while due := [(until, at) for at, (*_, until) in enumerate(one.out) if until <= end]:
+        while due := [(until, at) for at, (*_, until) in enumerate(one.open_attempts) if until <= end]:
             until, at = min(due)
             one.end(max(until, self.now), at, it.Status.TIMEOUT)
-        one.give(end, it.TimerFired(0))
+        one.deliver(end, it.TimerFired(0))
 
     def bin(self, one: Agent) -> None:
         end = BEGIN + (self.now - BEGIN) + 500.0
@@ -218,7 +228,7 @@
             record.final_answers = record.final_answers or 1  # its clients see the connection close
         if not kept:
             one.checker = RuleChecker(one.config)
-        one.begin(self.now)
+        one.start(self.now)
         if kept:
             newest = checker.stages[-1][1]
             one.agent.handle(
@@ -226,11 +236,11 @@
                 it.StageNews(max(newest - 1, 0), 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")),
             )
             tried = tuple((build, cls, at) for at, build, cls in checker.trial_sends)
-            one.give(self.now, it.Restored(tried, tuple(checker.key_builds.items())))
-        one.list(self.now, base=None)
+            one.deliver(self.now, it.Restored(tried, tuple(checker.key_builds.items())))
+        one.update_list(self.now, base=None)
         if checker.stages[-1][1]:
             _, build, stage, phase, cap = checker.stages[-1]
-            one.stage(self.now, build, stage, phase.name.lower(), cap)
+            one.update_stage(self.now, build, stage, phase.name.lower(), cap)
 
     def killed_with_store(self, one: Agent) -> None:
         self.killed(one, kept=True)
@@ -240,7 +250,7 @@
             self.play("long")
         for one in self.agents:
             owed = [r for r, record in one.checker.requests.items() if record.final_answers != 1]
-            if owed or one.out or one.agent.pending_requests or one.agent.in_flight:
+            if owed or one.open_attempts or one.agent.pending_requests or one.agent.in_flight:
                 raise RuleViolation("answered", f"requests {owed} without exactly one final answer")
 
 
@@ -262,29 +272,29 @@
 
     Two orders that lead to the same state, bit by bit, with the same events left are continued only once.
     """
-    met: dict[tuple[bytes, frozenset[tuple[str, int]]], int] = {}
+    order_counts: dict[tuple[bytes, frozenset[tuple[str, int]]], int] = {}
 
-    def deeper(saved: bytes, left: Counter[str], path: tuple[str, ...]) -> int:
-        at = blake3(saved).digest(), frozenset(left.items())
-        if at not in met:
-            met[at] = 0
-            for name in sorted(left):
+    def play_on(saved: bytes, remaining: Counter[str], path: tuple[str, ...]) -> int:
+        state_key = blake3(saved).digest(), frozenset(remaining.items())
+        if state_key not in order_counts:
+            order_counts[state_key] = 0
+            for name in sorted(remaining):
                 play: Play = pickle.loads(saved)
                 try:
                     play.play(name)
-                    rest = left - Counter([name])
+                    rest = remaining - Counter([name])
                     if rest:
-                        met[at] += deeper(pickle.dumps(play, -1), rest, (*path, name))
+                        order_counts[state_key] += play_on(pickle.dumps(play, -1), rest, (*path, name))
                     else:
-                        met[at] += 1
+                        order_counts[state_key] += 1
                         play.finish()
                 except RuleViolation as violation:
                     if not hasattr(violation, "__notes__"):
                         violation.add_note("after " + ", ".join((*path, name)))
                     raise
-        return met[at]
+        return order_counts[state_key]
 
-    return deeper(pickle.dumps(Play(make, agents, config), -1), Counter(names), ()), len(met)
+    return play_on(pickle.dumps(Play(make, agents, config), -1), Counter(names), ()), len(order_counts)
 
 
 SETS: dict[str, tuple[list[str], int]] = {
