--- a/otterquay/policy/bins.py
+++ b/otterquay/policy/bins.py
@@ -4,7 +4,7 @@
 
 from otterquay import interface as it
 from otterquay.policy.scoring import metric_score
-from otterquay.policy.state import POOL_BINS, SERIES_BINS, recent
+from otterquay.policy.state import POOL_BINS, SERIES_BINS, count_recent
 from otterquay.policy.votes import Voting
 
 # Pairs that a baseline needs. Prescribed by the published design.
@@ -85,20 +85,20 @@
             self.now - self.settings.rules.fall_ms,
         )
         self.attempt_times = {
-            key: times for key, times in self.attempt_times.items() if recent(times, exposure_since)
+            key: times for key, times in self.attempt_times.items() if count_recent(times, exposure_since)
         }
         for times, since in [
             *((t, exposure_since) for t in self.request_times),
             (self.success_times, overload_since),
             (self.cold_send_times, overload_since),
         ]:
-            recent(times, since)
+            count_recent(times, since)
         for server in list(self.servers.values()):
             server.health += (1 - server.health) * HEALTH_RECOVERY_PER_BIN
             server.last_ready_at = self.now if server.ready else server.last_ready_at
             # A server that has left is kept while its sends still count for a rule or an attempt is open.
             if (
-                not recent(server.send_times, overload_since)
+                not count_recent(server.send_times, overload_since)
                 and not server.open_attempts
                 and self.now - server.last_ready_at > FORGET_SERVER_MS
             ):
--- a/otterquay/policy/routing.py
+++ b/otterquay/policy/routing.py
@@ -10,7 +10,7 @@
     POOL_BINS,
     PendingRequest,
     Server,
-    recent,
+    count_recent,
 )
 
 # Part of the cap that is used at most.
@@ -155,7 +155,7 @@
             for i, c in enumerate(self.settings.classes)
         ]
         tenant_requests, tenant = (
-            [recent(times, self.now - 1e3) for times in self.tenant_request_times],
+            [count_recent(times, self.now - 1e3) for times in self.tenant_request_times],
             pending.request.tenant,
         )
         over_share = tenant_requests and tenant_requests[tenant] > OVER_SHARE_FACTOR * self.settings.tenants[
--- a/otterquay/policy/rules.py
+++ b/otterquay/policy/rules.py
@@ -8,7 +8,7 @@
 import math
 
 from otterquay import interface as it
-from otterquay.policy.state import BIN_MS, AgentState, PendingRequest, Server, recent
+from otterquay.policy.state import BIN_MS, AgentState, PendingRequest, Server, count_recent
 
 # Part of a cold server's budget that is used.
 COLD_BUDGET_PART = 0.85
@@ -41,9 +41,9 @@
             range(self.class_count) if together else [cls],
         )
         attempts = sum(
-            recent(self.attempt_times.get((build, c), []), self.now - window - 2 * tick) for c in classes
+            count_recent(self.attempt_times.get((build, c), []), self.now - window - 2 * tick) for c in classes
         )
-        return attempts, sum(recent(self.request_times[c], self.now - window + 4 * tick) for c in classes)
+        return attempts, sum(count_recent(self.request_times[c], self.now - window + 4 * tick) for c in classes)
 
     def _cap_reached(self, pending: PendingRequest, build: int) -> bool:
         """Whether rule 5 forbids the build for this request; the same holds for every server of the build."""
@@ -107,7 +107,7 @@
             self.settings.rules.fall_ms,
             COLD_BUDGET_PART * self.settings.rules.fall_multiple * self._capacity(server),
         )
-        budget = part * recent(self.success_times, self.now - window) / self.ready_count
+        budget = part * count_recent(self.success_times, self.now - window) / self.ready_count
         if self.last_warm_success_at < (
             math.inf if self.cold_count >= self.ready_count else max(server.started_at, self.now - window)
         ):
@@ -124,6 +124,6 @@
             # over all cold servers, and at most one attempt more is allowed.
             spent = (
                 self.cold_count < self.ready_count
-                and recent(self.cold_send_times, self.now - window) > budget * self.cold_count
+                and count_recent(self.cold_send_times, self.now - window) > budget * self.cold_count
             )
-        return not spent and recent(server.send_times, self.now - window) + 1 <= max(1.0, budget)
+        return not spent and count_recent(server.send_times, self.now - window) + 1 <= max(1.0, budget)
--- a/otterquay/policy/state.py
+++ b/otterquay/policy/state.py
@@ -33,7 +33,7 @@
 UNRUN = {it.Status.FULL, it.Status.CONNECT_FAILED, it.Status.MOOT}
 
 
-def recent(times: list[float], since: float) -> int:
+def count_recent(times: list[float], since: float) -> int:
     """Drop the times up to `since` from the sorted list and return how many remain."""
     del times[: bisect_right(times, since)]
     return len(times)
