--- a/otterquay/policy/routing.py
+++ b/otterquay/policy/routing.py
@@ -1,81 +1,168 @@
-"""Which server an attempt goes to."""
+"""Chooses the server that an attempt goes to."""
 
 import math
 
 from otterquay import interface as it
 from otterquay.policy.rules import Rules
-from otterquay.policy.state import CLASS_LEAST, LEAST_PART, POOL_BINS, Job, Server, recent
+from otterquay.policy.state import (
+    LOW_WORTH_LIMIT_PART,
+    MIN_CLASS_OUTCOMES,
+    POOL_BINS,
+    PendingRequest,
+    Server,
+    count_recent,
+)
 
-FILL, FAIR = 0.95, 1.3  # most used of the cap, of an even trial share
-DRAWN, CROSS, OVER_SHARE = 3, 1.3, 1.25  # servers drawn to choose from; crossing; times a share is over
-SMALL = 0.75  # part of an even zone's servers, under which its cold ones are not preferred as near
-KEPT_LEAST, KEPT_GAPS, REFUSED_PART, LOAD_MS = 3, 2.0, 0.1, 2000.0  # kept; asks a keep-alive; refused; stale
-DEAD_OK = 0.4  # health avoided
+# Part of the cap that is used at most.
+CAP_FILL_PART = 0.95
+# The trial gets at most this multiple of its even share of the requests.
+EVEN_SHARE_FACTOR = 1.3
+# Servers drawn from each group to choose from.
+SAMPLED_SERVERS = 3
+# Cost factor of a server in another zone.
+CROSS_ZONE_FACTOR = 1.3
+# A tenant is over its share above this multiple of it.
+OVER_SHARE_FACTOR = 1.25
+# Below this part of an even zone's servers, a zone's cold servers are not preferred for being near.
+SMALL_ZONE_PART = 0.75
+# Servers that an agent uses at least.
+MIN_SUBSET_SERVERS = 3
+# Requests per server and keep-alive time that the size of the subset aims at.
+REQUESTS_PER_KEEPALIVE = 2.0
+# Share of refused connections above which an agent keeps to servers that it has a connection to.
+HIGH_REFUSAL_SHARE = 0.1
+# Time in which a load report loses its weight.
+LOAD_REPORT_DECAY_MS = 2000.0
+# Servers below this health are avoided.
+MIN_HEALTH = 0.4
 
 
-class Routing(Rules):  # two random choices, within what the rules leave
-    def _cost(self, server: Server) -> float:  # own open work, seen slowness, failures, a stall, the crossing
-        stall = 1.0 + (self.now - next(iter(server.open.values()), self.now)) / (2 * max(self.usual))
-        cross = CROSS if server.entry.zone != self.s.zone and self.s.cross_zone_price else 1.0
-        held = max(len(server.open), server.load * math.exp((server.told - self.now) / LOAD_MS))
-        return (held + 1) * max(server.slow, 0.2) * stall * cross / max(server.ok, 0.1) ** 2
+class Routing(Rules):
+    """Chooses by two random choices among the servers that the rules permit."""
 
-    def _rank(self) -> None:  # each bin and after news: who is on trial and who not, the trial's even share
-        ready = sorted((s for s in self.servers.values() if s.ready), key=lambda s: s.key)
-        self.ranked = self.bins
-        self.colds = sum(map(self._cold, ready))
+    def _cost(self, server: Server) -> float:
+        """Cost of a server by its open work, slowness, failures, the age of its oldest attempt, and its zone."""
+        stall = 1.0 + (self.now - next(iter(server.open_attempts.values()), self.now)) / (
+            2 * max(self.usual_latency_ms)
+        )
+        cross_zone = (
+            CROSS_ZONE_FACTOR if server.entry.zone != self.settings.zone and self.settings.cross_zone_price else 1.0
+        )
+        open_work = max(
+            len(server.open_attempts), server.load * math.exp((server.load_at - self.now) / LOAD_REPORT_DECAY_MS)
+        )
+        return (open_work + 1) * max(server.slowness, 0.2) * stall * cross_zone / max(server.health, 0.1) ** 2
+
+    def _rank(self) -> None:
+        """Group the ready servers and compute the trial's even share; once per bin and after each update."""
+        ready = sorted((s for s in self.servers.values() if s.ready), key=lambda s: s.hash_rank)
+        self.ranked_bin = self.bin_count
+        self.cold_count = sum(map(self._cold, ready))
         groups = [[s for s in ready if (self._cap(s.entry.build) is None) is old] for old in (True, False)]
-        self.on_trial, self.fleet = {s.entry.build for s in groups[1]}, max(len(ready), 1)
-        zone = self.s.zone if self.s.cross_zone_price else -1
-        self.groups = [[[s for s in group if s.entry.zone == zone], group] for group in groups]
-        old, new = (sum(s.entry.weight * self._able(s) * s.ok for s in group) for group in groups)
-        places = old + new * (self.roll.replacement is it.Replacement.IN_PLACE)
-        self.even = FAIR * new / max(places, new, 1e-9)
+        self.trial_builds, self.ready_count = {s.entry.build for s in groups[1]}, max(len(ready), 1)
+        zone = self.settings.zone if self.settings.cross_zone_price else -1
+        self.server_groups = [[[s for s in group if s.entry.zone == zone], group] for group in groups]
+        old, new = (sum(s.entry.weight * self._capacity(s) * s.health for s in group) for group in groups)
+        places = old + new * (self.rollout.replacement is it.Replacement.IN_PLACE)
+        self.even_trial_share = EVEN_SHARE_FACTOR * new / max(places, new, 1e-9)
 
-    def _choose(self, job: Job) -> Server | None:
-        if self.ranked != self.bins:
+    def _choose(self, pending: PendingRequest) -> Server | None:
+        """Return the server for the next attempt, or None where no server may be used."""
+        if self.ranked_bin != self.bin_count:
             self._rank()
-        used, part = {a.server.id for a in job.attempts}, LEAST_PART + (1 - LEAST_PART) * self._worth(job)
+        used, limit_part = (
+            {a.server.id for a in pending.attempts},
+            LOW_WORTH_LIMIT_PART + (1 - LOW_WORTH_LIMIT_PART) * self._worth(pending),
+        )
 
         def fits(server: Server) -> bool:
-            return len(server.open) < server.limit * part and self.may_send(job, server)
+            return len(server.open_attempts) < server.concurrency_limit * limit_part and self.may_send(
+                pending, server
+            )
 
-        # against refusals that cost more than service: where every build on trial is shut, its servers are
-        # not asked one by one; the draws stay as they were. Could harm if the gate differed within a build
-        shut = all(self._shut(job, build) for build in self.on_trial)
-        fill = not job.attempts and self.groups[1][1] and self._fill(job)
-        for near, every in (groups := self.groups[::-1] if fill else self.groups):
-            few = [self.rng.sample(kept, min(DRAWN, len(kept))) for kept in map(self._kept, (near, every))]
-            if shut and every is self.groups[1][1]:
+        # Where the cap forbids every build on trial, their servers are not checked one by one: such refusals cost
+        # more than service. This relies on the cap being the same for all servers of a build. The random draws are
+        # made all the same.
+        trial_closed = all(self._cap_reached(pending, build) for build in self.trial_builds)
+        trial_first = not pending.attempts and self.server_groups[1][1] and self._prefer_trial(pending)
+        for near, every in (groups := self.server_groups[::-1] if trial_first else self.server_groups):
+            sampled = [
+                self.rng.sample(subset, min(SAMPLED_SERVERS, len(subset)))
+                for subset in map(self._subset, (near, every))
+            ]
+            if trial_closed and every is self.server_groups[1][1]:
                 continue
-            for some in (few, (near, every)):
-                close, can = (
-                    [s for s in those if s.ok >= DEAD_OK and s.id not in used and fits(s)] for those in some
+            for candidates in (sampled, (near, every)):
+                close, usable = (
+                    [s for s in servers if s.health >= MIN_HEALTH and s.id not in used and fits(s)]
+                    for servers in candidates
                 )
-                if SMALL * len(every) > len(near) * self.s.zones:  # else all agents near would push it over
+                # Otherwise all agents of a small zone would overload its cold servers.
+                if SMALL_ZONE_PART * len(every) > len(near) * self.settings.zones:
                     close = [s for s in close if not self._cold(s)]
-                if close or can:  # DESIGN: two random choices
-                    return min(self.rng.choice(close or can), self.rng.choice(can or close), key=self._cost)
-        can = [s for _, some in groups if not (shut and some is self.groups[1][1]) for s in some if fits(s)]
-        return min(self.rng.choice(can), self.rng.choice(can), key=self._cost) if can else None
+                # Two random choices. Prescribed by the published design.
+                if close or usable:
+                    return min(self.rng.choice(close or usable), self.rng.choice(usable or close), key=self._cost)
+        usable = [
+            s
+            for _, group in groups
+            if not (trial_closed and group is self.server_groups[1][1])
+            for s in group
+            if fits(s)
+        ]
+        return min(self.rng.choice(usable), self.rng.choice(usable), key=self._cost) if usable else None
+
+    def _subset(self, group: list[Server]) -> list[Server]:
+        """Return the few servers of a group that this agent uses, so that open connections are used again."""
+        keep_alive = self.settings.limits.keepalive_ms
+        if self.refusal_share > HIGH_REFUSAL_SHARE and (
+            connected := [s for s in group if self.now - s.connected_at < keep_alive]
+        ):
+            return connected
+        span = (
+            min(keep_alive / REQUESTS_PER_KEEPALIVE, math.inf if self.load_index is None else LOAD_REPORT_DECAY_MS)
+            * len(group)
+            / self.ready_count
+        )
+        return group[
+            : max(MIN_SUBSET_SERVERS, math.ceil(self._exposure(0, 0, True)[1] * span / self.rollout.window_ms))
+        ]
+
+    def _prefer_trial(self, pending: PendingRequest) -> bool:
+        """Whether to try the trial's servers first.
 
-    def _kept(self, group: list[Server]) -> list[Server]:  # few, so that open connections serve again
-        keep = self.s.limits.keepalive_ms
-        if self.refused > REFUSED_PART and (linked := [s for s in group if self.now - s.linked < keep]):
-            return linked
-        span = min(keep / KEPT_GAPS, math.inf if self.gauge is None else LOAD_MS) * len(group) / self.fleet
-        return group[: max(KEPT_LEAST, math.ceil(self._exposed(0, 0, True)[1] * span / self.roll.window_ms))]
+        The published design prescribes to fill the cap. Here the trial gets at most about its even share, and by
+        chance, so that no burst goes to it.
+        """
+        newest = max(self.trial_builds)
+        attempts, requests = self._exposure(newest, pending.cls, not self.rollout.per_class)
+        room = CAP_FILL_PART * (self.rollout.free + (self._cap(newest) or 0.0) * requests)
+        # Evaluators seek classes that they have not yet seen from the trial.
+        class_unseen = (
+            self.settings.me in self.evaluators
+            and self.pools["own", POOL_BINS][4 * pending.cls] < MIN_CLASS_OUTCOMES
+        )
+        share = min(room / max(requests, 1), 1.0 if class_unseen else self.even_trial_share)
+        return not self.trip_reason and attempts < room and self.rng.random() < share
 
-    def _fill(self, job: Job) -> bool:  # DESIGN: fill the cap; ours: up to an even share, by chance, no burst
-        newest = max(self.on_trial)
-        tries, asked = self._exposed(newest, job.cls, not self.roll.per_class)
-        room = FILL * (self.roll.free + (self._cap(newest) or 0.0) * asked)
-        lacks = self.s.me in self.judges and self.pools["own", POOL_BINS][4 * job.cls] < CLASS_LEAST
-        part = min(room / max(asked, 1), 1.0 if lacks else self.even)  # judges seek what they have not seen
-        return not self.tripped and tries < room and self.rng.random() < part
+    def _worth(self, pending: PendingRequest) -> float:
+        """Worth of a request for its work, relative to the highest; less for a tenant over its share.
 
-    def _worth(self, job: Job) -> float:  # for its work; a tenant's by its part here, as agents may be down
-        worth = [c.worth * (self.s.worth_by_work or 1 / self.usual[i]) for i, c in enumerate(self.s.classes)]
-        sent, tenant = [recent(times, self.now - 1e3) for times in self.by_tenant], job.request.tenant
-        over = sent and sent[tenant] > OVER_SHARE * self.s.tenants[tenant].share * sum(sent)
-        return worth[job.cls] / max(*worth, 1e-9) * (self.s.over_share_worth if over else 1.0)
+        A tenant's share is taken of the requests at this agent, as other agents may be down.
+        """
+        class_worths = [
+            c.worth * (self.settings.worth_by_work or 1 / self.usual_latency_ms[i])
+            for i, c in enumerate(self.settings.classes)
+        ]
+        tenant_requests, tenant = (
+            [count_recent(times, self.now - 1e3) for times in self.tenant_request_times],
+            pending.request.tenant,
+        )
+        over_share = tenant_requests and tenant_requests[tenant] > OVER_SHARE_FACTOR * self.settings.tenants[
+            tenant
+        ].share * sum(tenant_requests)
+        return (
+            class_worths[pending.cls]
+            / max(*class_worths, 1e-9)
+            * (self.settings.over_share_worth if over_share else 1.0)
+        )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders for hand-written event sequences."""
+"""Builders of settings and events, and a driver of one agent, for tests that write event sequences by hand."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
 
 
 def settings(**changes: object) -> it.Settings:
-    """The usual settings with some parts changed; rollout, limits and rules take dictionaries."""
+    """Return the default settings with changes; rollout, limits and rules take dictionaries."""
     parts = {
         name: replace(getattr(SETTINGS, name), **changes.pop(name))
         for name in ("rollout", "limits", "rules")
@@ -100,33 +100,35 @@
     return it.ServerEntry(server, zone, kind, cell, state, 1.0, started, build)
 
 
-class Drive:
-    """An agent with a clock of its own and a memory of what it sent."""
+class AgentDriver:
+    """Drives one agent on a clock of its own and records its actions."""
 
     def __init__(self, config: it.Settings = SETTINGS, servers: int = 4, seed: int = 1, now: float = 1e6) -> None:
-        self.agent, self.now, self.ids = Agent(config, seed), now, 100
-        self.all: list[it.Action] = []
-        self.legs: dict[int, int] = {}
-        self.give(it.Started())
-        self.list(*[entry(i) for i in range(1, servers + 1)], kind=it.ListKind.CACHED)
-        self.news(1, 0, it.Phase.RELEASED, 1.0)
-
-    def give(self, event: it.Event) -> list[it.Action]:
+        self.agent, self.now, self.last_request = Agent(config, seed), now, 100
+        self.actions: list[it.Action] = []
+        self.attempt_counts: dict[int, int] = {}
+        self.deliver(it.Started())
+        self.update_list(*[entry(i) for i in range(1, servers + 1)], kind=it.ListKind.CACHED)
+        self.update_stage(1, 0, it.Phase.RELEASED, 1.0)
+
+    def deliver(self, event: it.Event) -> list[it.Action]:
         actions = self.agent.handle(self.now, event)
-        self.all.extend(actions)
+        self.actions.extend(actions)
         return actions
 
-    def list(self, *entries: it.ServerEntry, kind: it.ListKind = it.ListKind.DELTA) -> list[it.Action]:
-        return self.give(it.ServerList(kind, 1, entries))
+    def update_list(self, *entries: it.ServerEntry, kind: it.ListKind = it.ListKind.DELTA) -> list[it.Action]:
+        return self.deliver(it.ServerList(kind, 1, entries))
 
-    def news(self, build: int, stage: int, phase: it.Phase, cap: float) -> list[it.Action]:
-        return self.give(it.StageNews(build, stage, phase, False, it.Status.OK, cap, 0.0))
+    def update_stage(self, build: int, stage: int, phase: it.Phase, cap: float) -> list[it.Action]:
+        return self.deliver(it.StageNews(build, stage, phase, False, it.Status.OK, cap, 0.0))
 
     def ask(
         self, cls: int = 0, budget: float = 2000.0, key: int = 0, tenant: int = 0
     ) -> tuple[int, list[it.Action]]:
-        self.ids += 1
-        return self.ids, self.give(it.Request(self.ids, cls, tenant, key, budget, 0.0, False, False, False))
+        self.last_request += 1
+        return self.last_request, self.deliver(
+            it.Request(self.last_request, cls, tenant, key, budget, 0.0, False, False, False)
+        )
 
     def end(
         self,
@@ -135,14 +137,14 @@
         latency: float = 100.0,
         over: bool | None = None,
     ) -> list[it.Action]:
-        leg = self.legs.get(send.request, 0)
-        self.legs[send.request] = leg + 1
-        done = status is it.Status.OK if over is None else over
-        return self.give(it.Outcome(send.request, send.server, leg, status, latency, done, ()))
+        attempt = self.attempt_counts.get(send.request, 0)
+        self.attempt_counts[send.request] = attempt + 1
+        is_over = status is it.Status.OK if over is None else over
+        return self.deliver(it.Outcome(send.request, send.server, attempt, status, latency, is_over, ()))
 
     def tick(self, ms: float = 50.0) -> list[it.Action]:
         self.now += ms
-        return self.give(it.TimerFired(0))
+        return self.deliver(it.TimerFired(0))
 
 
 def sends(actions: list[it.Action]) -> list[it.Send]:
@@ -154,12 +156,12 @@
 
 
 def never_drains(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module takes every server that it knows for ready: a guard taken out, to see that tests notice."""
-    hear = Agent._serverlist
+    """Take a guard out, to show that tests notice: the agent holds every known server for ready."""
+    original = Agent._serverlist
 
-    def deaf(self: Agent, news: it.ServerList) -> None:
-        hear(self, news)
+    def without_drains(self: Agent, news: it.ServerList) -> None:
+        original(self, news)
         for server in self.servers.values():
             server.ready = True
 
-    monkeypatch.setattr(Agent, "_serverlist", deaf)
+    monkeypatch.setattr(Agent, "_serverlist", without_drains)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,8 +1,8 @@
-"""All orders of a few events on a tiny fleet: the real module behind the real books of list and desk.
+"""All orders of a few events on a tiny fleet: the decision module behind the real registries of list and desk.
 
-Each set of events is played in every order, depth first from copies of the state; after each event the books of
-`rulebook` judge every action, and at the end time runs out and all that was taken must have had one final answer.
-What an event does depends on the state it meets: "answer" ends the oldest attempt that is out, if there is one.
+Each set of events is played in every order, depth first from copies of the state. After each event the checker of
+`rule_checker` judges every action; at the end time runs out and every request must have had one final answer. What
+an event does depends on the state: "answer" ends the oldest open attempt, if there is one.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from blake3 import blake3
 from helpers import settings
 from rig import Rig, kind, service
-from rulebook import RULES, Books, Broken
+from rule_checker import RULES, RuleChecker, RuleViolation
 from test_auditor import AllAreSafe, NeverCold, NeverDrains, NoCap, NoFinalAnswers
 
 from otterquay import interface as it
@@ -37,81 +37,91 @@
 
 
 class Agent:
-    """One agent, its books of list and desk, the judge's books, and what it has out."""
+    """One agent with its registries of list and desk, its rule checker and its open attempts."""
 
     def __init__(self, config: it.Settings, make: type[policy.Agent], seed: int, now: float) -> None:
-        self.config, self.make, self.seed = config, make, seed
-        self.books, self.desk_number, self.version, self.ids = Books(config), 0, 0, 0
+        self.config, self.make_agent, self.seed = config, make, seed
+        self.checker, self.desk_number, self.version, self.last_request = RuleChecker(config), 0, 0, 0
         self.entries: dict[int, news.Entry] = {}
-        self.begin(now)
+        self.start(now)
 
-    def begin(self, now: float) -> None:
-        self.agent = self.make(self.config, self.seed)
+    def start(self, now: float) -> None:
+        self.agent = self.make_agent(self.config, self.seed)
         self.fleet, self.desk = (
             FleetBook(ZONES),
             DeskBook(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
         )
-        self.out: list[tuple[int, int, int, float, float]] = []  # request, leg, server, sent, until
-        self.give(now, it.Started())
+        self.open_attempts: list[
+            tuple[int, int, int, float, float]
+        ] = []  # request, attempt, server, sent at, until
+        self.deliver(now, it.Started())
 
-    def give(self, now: float, event: it.Event | None) -> None:
-        if event is None:  # heard before
+    def deliver(self, now: float, event: it.Event | None) -> None:
+        if event is None:  # repeated news
             return
-        self.books.event(now, event)
+        self.checker.event(now, event)
         for action in self.agent.handle(now, event):
-            self.books.action(now, action)
+            self.checker.action(now, action)
             if isinstance(action, it.Send):
-                leg = len(self.books.duties[action.request].legs) - 1
-                until = min(action.until_ms, self.books.duties[action.request].until)
-                self.out.append((action.request, leg, action.server, now, until))
+                attempt = len(self.checker.requests[action.request].attempts) - 1
+                until = min(action.until_ms, self.checker.requests[action.request].deadline)
+                self.open_attempts.append((action.request, attempt, action.server, now, until))
 
     def end(self, now: float, at: int, status: it.Status) -> None:
-        request, leg, server, sent, _ = self.out.pop(at)
-        over = bool(self.books.duties[request].finals) or status is it.Status.OK
-        self.give(now, it.Outcome(request, server, leg, status, max(now - sent, 1.0), over, ()))
-
-    def list(self, now: float, *changed: news.Entry, base: int | None = -1, version: int | None = None) -> None:
-        """Tell changes to the list held, or with no base the whole list; an earlier version is passed over."""
-        before, fresh = self.version, self.version + 1 if version is None else version
+        request, attempt, server, sent, _ = self.open_attempts.pop(at)
+        over = bool(self.checker.requests[request].final_answers) or status is it.Status.OK
+        self.deliver(now, it.Outcome(request, server, attempt, status, max(now - sent, 1.0), over, ()))
+
+    def update_list(
+        self, now: float, *changed: news.Entry, base: int | None = -1, version: int | None = None
+    ) -> None:
+        """Send changes of the list, or with no base the whole list; an earlier version is ignored."""
+        old_version, new_version = self.version, self.version + 1 if version is None else version
         if version is None:
-            self.version = fresh
+            self.version = new_version
             self.entries.update({e.server: e for e in changed})
-        whole = list(self.entries.values()) if base is None else list(changed)
-        told = news.FleetNews(fresh, whole, before if base == -1 else base)
-        self.give(now, self.fleet.heard(f"l:{fresh}", told, now))
+        entries = list(self.entries.values()) if base is None else list(changed)
+        event = news.FleetNews(new_version, entries, old_version if base == -1 else base)
+        self.deliver(now, self.fleet.heard(f"l:{new_version}", event, now))
 
-    def stage(self, now: float, build: int, stage: int, phase: str, cap: float) -> None:
+    def update_stage(self, now: float, build: int, stage: int, phase: str, cap: float) -> None:
         self.desk_number += 1
-        told = news.Stage(build, stage, phase, cap, 0.0)  # type: ignore[arg-type]
-        self.give(now, self.desk.heard(f"d:{self.desk_number}", "stage", msgspec.json.encode(told), now))
+        event = news.Stage(build, stage, phase, cap, 0.0)  # type: ignore[arg-type]
+        self.deliver(now, self.desk.heard(f"d:{self.desk_number}", "stage", msgspec.json.encode(event), now))
 
 
 class Play:
-    """One or two agents on one clock, and the events that a set may hold, by name."""
+    """One or two agents on one clock, with a method for each event that a set may name."""
 
     def __init__(self, make: type[policy.Agent], agents: int = 1, config: it.Settings = CONFIG) -> None:
         self.now, self.agents = BEGIN, [Agent(config, make, seed, BEGIN) for seed in range(agents)]
         begin = [self.entry(1, 1, "north"), self.entry(2, 1, "south"), self.entry(3, 1, "north")]
         for one in self.agents:
-            one.list(self.now, *begin, base=None)
-            one.stage(self.now, 1, 0, "released", 1.0)
+            one.update_list(self.now, *begin, base=None)
+            one.update_stage(self.now, 1, 0, "released", 1.0)
 
     def entry(
-        self, server: int, build: int, zone: str, state: str = "ready", life: int = 0, age: float | None = None
+        self,
+        server: int,
+        build: int,
+        zone: str,
+        state: str = "ready",
+        incarnation: int = 0,
+        age: float | None = None,
     ) -> news.Entry:
         address = f"127.0.0.1:{9000 + server}"
-        return news.Entry(server, zone, state, build, address, 10 * server + life, age_ms=age)  # type: ignore[arg-type]
+        return news.Entry(server, zone, state, build, address, 10 * server + incarnation, age_ms=age)  # type: ignore[arg-type]
 
     def play(self, name: str) -> None:
         for one in self.agents:
             getattr(self, name)(one)
         for one in self.agents:
-            one.books.at(self.now)
+            one.checker.check_deadlines(self.now)
 
     # --- clients ---
     def _ask(self, one: Agent, cls: int, key: int = 0, budget: float = 1500.0) -> None:
-        one.ids += 1
-        one.give(self.now, it.Request(one.ids, cls, 0, key, budget, 0.0, False, False, cls > 0))
+        one.last_request += 1
+        one.deliver(self.now, it.Request(one.last_request, cls, 0, key, budget, 0.0, False, False, cls > 0))
 
     def safe(self, one: Agent) -> None:
         self._ask(one, 0)
@@ -127,19 +137,19 @@
         self._ask(one, 2, 8)
 
     def client_gone(self, one: Agent) -> None:
-        owed = [r for r, duty in one.books.duties.items() if not duty.finals]
+        owed = [r for r, record in one.checker.requests.items() if not record.final_answers]
         if owed:
-            one.give(self.now, it.Abandoned(owed[0]))
+            one.deliver(self.now, it.Abandoned(owed[0]))
 
     # --- servers ---
     def _end(self, one: Agent, status: it.Status, at: int = 0) -> None:
-        if one.out:
+        if one.open_attempts:
             one.end(self.now, at, status)
 
     def answer(self, one: Agent) -> None:
         self._end(one, it.Status.OK)
 
-    def late_answer(self, one: Agent) -> None:  # after all that came between
+    def late_answer(self, one: Agent) -> None:  # the newest open attempt first
         self._end(one, it.Status.OK, -1)
 
     def error(self, one: Agent) -> None:
@@ -153,52 +163,52 @@
 
     # --- the list ---
     def drain(self, one: Agent) -> None:
-        one.list(self.now, self.entry(1, 1, "north", "draining"))
+        one.update_list(self.now, self.entry(1, 1, "north", "draining"))
 
     def gone(self, one: Agent) -> None:
-        one.list(self.now, self.entry(1, 1, "north", "gone"))
+        one.update_list(self.now, self.entry(1, 1, "north", "gone"))
 
     def missing(self, one: Agent) -> None:
         one.entries.pop(1, None)
-        one.list(self.now, base=None)
+        one.update_list(self.now, base=None)
 
-    def replaced(self, one: Agent) -> None:  # by the next build, cold
-        one.list(self.now, self.entry(1, 2, "south", life=1, age=50.0))
+    def replaced(self, one: Agent) -> None:  # by a cold server of the next build
+        one.update_list(self.now, self.entry(1, 2, "south", incarnation=1, age=50.0))
 
-    def restarted(self, one: Agent) -> None:  # the same build, its age not told
-        one.list(self.now, self.entry(2, 1, "south", life=1))
+    def restarted(self, one: Agent) -> None:  # the same build, without an age
+        one.update_list(self.now, self.entry(2, 1, "south", incarnation=1))
 
-    def stale(self, one: Agent) -> None:  # a list of before, late: server 1 as it was at first
-        one.list(self.now, self.entry(1, 1, "north"), base=0, version=1)
+    def stale(self, one: Agent) -> None:  # an old list that comes late: server 1 as it was at first
+        one.update_list(self.now, self.entry(1, 1, "north"), base=0, version=1)
 
     def trial(self, one: Agent) -> None:
-        one.list(self.now, self.entry(9, 2, "north", age=5000.0))
+        one.update_list(self.now, self.entry(9, 2, "north", age=5000.0))
 
     # --- the desk ---
     def offered(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "trial", 0.2)
+        one.update_stage(self.now, 2, 0, "trial", 0.2)
 
     def raised(self, one: Agent) -> None:
-        one.stage(self.now, 2, 1, "trial", 1.0)
+        one.update_stage(self.now, 2, 1, "trial", 1.0)
 
     def lowered(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "trial", 0.05)
+        one.update_stage(self.now, 2, 0, "trial", 0.05)
 
     def back(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "going_back", 0.0)
+        one.update_stage(self.now, 2, 0, "going_back", 0.0)
 
     def withdrawn(self, one: Agent) -> None:
-        one.stage(self.now, 2, 0, "withdrawn", 0.0)
+        one.update_stage(self.now, 2, 0, "withdrawn", 0.0)
 
     def released(self, one: Agent) -> None:
-        one.stage(self.now, 2, 1, "released", 1.0)
+        one.update_stage(self.now, 2, 1, "released", 1.0)
 
-    # --- time; attempts time out on the way ---
+    # --- time; attempts time out meanwhile ---
     def _pass(self, one: Agent, end: float) -> None:
-        while due := [(until, at) for at, (*_, until) in enumerate(one.out) if until <= end]:
+        while due := [(until, at) for at, (*_, until) in enumerate(one.open_attempts) if until <= end]:
             until, at = min(due)
             one.end(max(until, self.now), at, it.Status.TIMEOUT)
-        one.give(end, it.TimerFired(0))
+        one.deliver(end, it.TimerFired(0))
 
     def bin(self, one: Agent) -> None:
         end = BEGIN + (self.now - BEGIN) + 500.0
@@ -212,25 +222,25 @@
 
     # --- the agent itself ---
     def killed(self, one: Agent, kept: bool = False) -> None:
-        """Started anew; what its store kept is taken from the judge's books, which go on where it kept it."""
-        books = one.books
-        for duty in books.duties.values():
-            duty.finals = duty.finals or 1  # its clients see the connection end
+        """Restart the agent; what its store kept is taken from the rule checker, which then goes on as it is."""
+        checker = one.checker
+        for record in checker.requests.values():
+            record.final_answers = record.final_answers or 1  # its clients see the connection close
         if not kept:
-            one.books = Books(one.config)
-        one.begin(self.now)
+            one.checker = RuleChecker(one.config)
+        one.start(self.now)
         if kept:
-            newest = books.caps[-1][1]
+            newest = checker.stages[-1][1]
             one.agent.handle(
                 self.now,
                 it.StageNews(max(newest - 1, 0), 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf")),
             )
-            tried = tuple((build, cls, at) for at, build, cls in books.tried)
-            one.give(self.now, it.Restored(tried, tuple(books.kept.items())))
-        one.list(self.now, base=None)
-        if books.caps[-1][1]:
-            _, build, stage, phase, cap = books.caps[-1]
-            one.stage(self.now, build, stage, phase.name.lower(), cap)
+            tried = tuple((build, cls, at) for at, build, cls in checker.trial_sends)
+            one.deliver(self.now, it.Restored(tried, tuple(checker.key_builds.items())))
+        one.update_list(self.now, base=None)
+        if checker.stages[-1][1]:
+            _, build, stage, phase, cap = checker.stages[-1]
+            one.update_stage(self.now, build, stage, phase.name.lower(), cap)
 
     def killed_with_store(self, one: Agent) -> None:
         self.killed(one, kept=True)
@@ -239,13 +249,13 @@
         for _ in range(2):
             self.play("long")
         for one in self.agents:
-            owed = [r for r, duty in one.books.duties.items() if duty.finals != 1]
-            if owed or one.out or one.agent.jobs or one.agent.away:
-                raise Broken("answered", f"{owed} without one final answer")
+            owed = [r for r, record in one.checker.requests.items() if record.final_answers != 1]
+            if owed or one.open_attempts or one.agent.pending_requests or one.agent.in_flight:
+                raise RuleViolation("answered", f"requests {owed} without exactly one final answer")
 
 
 def orders(names: Counter[str]) -> int:
-    """How many orders a set has."""
+    """Number of different orders of a set."""
     total, count = sum(names.values()), 1
     for n in range(2, total + 1):
         count *= n
@@ -258,33 +268,33 @@
 def search(
     names: list[str], make: type[policy.Agent] = policy.Agent, agents: int = 1, config: it.Settings = CONFIG
 ) -> tuple[int, int]:
-    """Play every order; returns how many orders and differing states there were. `Broken` names the order at fault.
+    """Play every order and return the numbers of orders and of different states; a `RuleViolation` names its order.
 
-    Two orders that lead to one state, to the bit, with the same events left go on alike and are played on once.
+    Two orders that lead to the same state, bit by bit, with the same events left are continued only once.
     """
-    met: dict[tuple[bytes, frozenset[tuple[str, int]]], int] = {}
+    order_counts: dict[tuple[bytes, frozenset[tuple[str, int]]], int] = {}
 
-    def deeper(saved: bytes, left: Counter[str], path: tuple[str, ...]) -> int:
-        at = blake3(saved).digest(), frozenset(left.items())
-        if at not in met:
-            met[at] = 0
-            for name in sorted(left):
+    def play_on(saved: bytes, remaining: Counter[str], path: tuple[str, ...]) -> int:
+        state_key = blake3(saved).digest(), frozenset(remaining.items())
+        if state_key not in order_counts:
+            order_counts[state_key] = 0
+            for name in sorted(remaining):
                 play: Play = pickle.loads(saved)
                 try:
                     play.play(name)
-                    rest = left - Counter([name])
+                    rest = remaining - Counter([name])
                     if rest:
-                        met[at] += deeper(pickle.dumps(play, -1), rest, (*path, name))
+                        order_counts[state_key] += play_on(pickle.dumps(play, -1), rest, (*path, name))
                     else:
-                        met[at] += 1
+                        order_counts[state_key] += 1
                         play.finish()
-                except Broken as broken:
-                    if not hasattr(broken, "__notes__"):
-                        broken.add_note("after " + ", ".join((*path, name)))
+                except RuleViolation as violation:
+                    if not hasattr(violation, "__notes__"):
+                        violation.add_note("after " + ", ".join((*path, name)))
                     raise
-        return met[at]
+        return order_counts[state_key]
 
-    return deeper(pickle.dumps(Play(make, agents, config), -1), Counter(names), ()), len(met)
+    return play_on(pickle.dumps(Play(make, agents, config), -1), Counter(names), ()), len(order_counts)
 
 
 SETS: dict[str, tuple[list[str], int]] = {
@@ -326,18 +336,18 @@
 @pytest.mark.parametrize("rule", RULES)
 def test_with_its_guard_out_an_order_is_found_that_breaks_the_rule(rule: str) -> None:
     make, name = GUARDS[rule]
-    with pytest.raises(Broken) as found:
+    with pytest.raises(RuleViolation) as found:
         search(*SETS[name][:1], make=make)
     assert found.value.rule == rule
 
 
-# --- a smaller set through the running agent, on simulated time ---
+# --- a smaller set through the running agent, in simulated time ---
 WHOLE = ("safe", "unsafe", "error", "drain", "offer")
 GRACE_S = 1.0
 
 
 async def played(order: tuple[str, ...], gap_s: float, decider: type[policy.Agent] = policy.Agent) -> list[str]:
-    """What is wrong with the traffic of one order; `error` lets all that servers hold fail."""
+    """Return what is wrong with the traffic of one order; `error` fails all requests that servers hold."""
     blocks = {"rules": {"drain_grace": "1s"}, "rollout": {"free": 1}}
     faults, ends, held = list[str](), list[asyncio.Task[str]](), list[tuple[Peer, HttpRequest]]()
     loop, drained, capped = asyncio.get_running_loop(), float("inf"), float("inf")
@@ -354,10 +364,10 @@
         async def ask(cls: str) -> str:
             try:
                 reader, writer = await rig.connect()
-            except OSError:  # the agent restarts just now
+            except OSError:  # the agent is restarting
                 return "closed"
             writer.write(rig.ask(cls, 1500, x_request_id=f"{cls}-{len(ends)}"))
-            found = await rig.answers(reader, 2)  # the second never comes: the read ends with the connection
+            found = await rig.answers(reader, 2)  # no second answer comes: the read ends with the connection
             if len(found) > 1:
                 faults.append(f"{len(found)} answers to {cls}")
             return kind(found[0]) if found else "closed"
@@ -386,7 +396,7 @@
                     rig.runtime.close()
                     await rig.up(rig.list.listener.address, rig.desk.listener.address)
             await asyncio.sleep(gap_s)
-        for _ in range(8):  # what is sent again goes on being failed; and time runs out
+        for _ in range(8):  # retries fail, too, until time runs out
             await fail_held()
             await asyncio.sleep(0.5)
         if rig.runtime.held:
@@ -396,17 +406,17 @@
         await asyncio.gather(*ends)
         for end in ends:
             if end.result() == "none" or (end.result() == "closed" and "restart" not in order):
-                faults.append(f"a client got {end.result()}")
+                faults.append(f"a client received {end.result()}")
     for id, times in Counter(id for _, _, id in arrived).items():
         if id.startswith(b"race") and times > 1:
             faults.append(f"{id.decode()} reached servers {times} times")
     faults += [
-        f"server 1 got {id.decode()} after its drain"
+        f"server 1 received {id.decode()} after its drain"
         for at, server, id in arrived
         if server == 1 and at > drained + GRACE_S + 0.1
     ]
     faults += [
-        f"server 3 got {id.decode()} at cap 0"
+        f"server 3 received {id.decode()} at cap 0"
         for at, server, id in arrived
         if server == 3 and at > capped + GRACE_S + 0.1
     ]
