--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -26,8 +26,8 @@
 import msgspec
 import uvloop
 
-from otterquay.agent.back import Pool
-from otterquay.agent.web import HttpSpeech
+from otterquay.agent.connection_pool import Pool
+from otterquay.agent.http_agent import HttpApplianceProtocol
 from otterquay.config.load import parse_service
 from otterquay.logs import silent
 from otterquay.protocol import news
@@ -88,7 +88,7 @@
 
 async def serve_relay(targets: list[str]) -> None:
     """The bare relay: the agent's codec and its pool of connections, a server at random, no decisions."""
-    rng, pool = random.Random(1), Pool(0.25, 15.0, HttpSpeech(0, ()), silent())
+    rng, pool = random.Random(1), Pool(0.25, 15.0, HttpApplianceProtocol(0, ()), silent())
     skipped = (b"host", b"content-length", b"connection", b"transfer-encoding")
 
     async def client(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -184,7 +184,7 @@
 async def serve_timed(fleet: str, desk: str) -> None:
     """The agent with a clock around its module: prints the module's microseconds a request when told to end."""
     from otterquay import interface as it
-    from otterquay.agent.web import WebAgent
+    from otterquay.agent.http_agent import HttpAgent
     from otterquay.policy.agent import Agent
 
     class Timed(Agent):
@@ -204,7 +204,7 @@
         {"agent": {"listen": "127.0.0.1:0"}, "feeds": {"fleet": f"http://{fleet}", "desk": f"http://{desk}"}},
     )
     gc.freeze()
-    runtime, ended = WebAgent(service, random.Random(1), silent(), decider=Timed), asyncio.Event()
+    runtime, ended = HttpAgent(service, random.Random(1), silent(), decider=Timed), asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
     host, port = await runtime.start()
     print(f"listening {host}:{port}", flush=True)
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -20,7 +20,7 @@
 import click
 
 from otterquay import interface as it
-from otterquay.agent.feeds import FleetBook
+from otterquay.agent.feeds import FleetRegistry
 from otterquay.config.load import load_service
 from otterquay.config.translate import module_settings
 from otterquay.policy.agent import Agent
@@ -39,7 +39,7 @@
         self.zones, self.size, self.now = service.zones, size, 1e6
         settings = replace(module_settings(service), agents=size)
         self.agent, self.timers = Agent(settings, 1), list[tuple[float, int, int]]()
-        self.reader, self.book, self._order = TargetReader(["std"]), FleetBook(service.zones), itertools.count()
+        self.reader, self.book, self._order = TargetReader(["std"]), FleetRegistry(service.zones), itertools.count()
         self.sent: list[it.Send] = []
         self.give(it.Started())
         self.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 0.0))
@@ -86,7 +86,7 @@
         """Discovery's bytes become the module's event."""
         whole, fleet, _ = self.reader.read(data, WALL_MS)
         kind = it.ListKind.FULL if whole else it.ListKind.DELTA
-        self.give(self.book.take(kind, fleet, self.now))
+        self.give(self.book.apply(kind, fleet, self.now))
 
     def serve(self, count: int, gap_ms: float) -> None:
         """Requests one after another, each answered at once."""
--- a/otterquay/agent/attempts.py
+++ b/otterquay/agent/attempts.py
@@ -13,8 +13,8 @@
 from otterquay import interface as it
 from otterquay.agent.exchange import Call
 from otterquay.agent.feeds import share_allowed
-from otterquay.agent.lifecycle import Held, Lifecycle, Phase
-from otterquay.agent.outcomes import TABLE, End
+from otterquay.agent.lifecycle import Lifecycle, OpenRequest, Phase
+from otterquay.agent.outcomes import END_MEANINGS, End
 from otterquay.protocol import news
 
 
@@ -38,64 +38,66 @@
 
     newest: it.StageNews | None = None
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, open_request: OpenRequest) -> None:
         raise NotImplementedError
 
     def _allowed(self, build: int) -> float:
         return share_allowed(build, self.newest, self.settings.rollout.stage_cap[0]) if self.newest else 1.0
 
     def _send(self, request: int, server: int, until_ms: float) -> None:
-        held = self.held.get(request)
-        if held is None:
+        open_request = self.open_requests.get(request)
+        if open_request is None:
             return self.post(it.Outcome(request, server, 0, it.Status.MOOT, 0.0, True, ()))
-        attempt, held.attempts = held.attempts, held.attempts + 1
+        attempt, open_request.attempts = open_request.attempts, open_request.attempts + 1
         entry, now = self.ports.list.entries.get(server), self._now()
-        until = min(until_ms / 1e3, held.deadline_s) if until_ms > 0 else held.deadline_s
-        client = held.client
-        if client and (self.phase is Phase.CLOSED or client.left()):  # its close lies unread, soon to be told
+        until = min(until_ms / 1e3, open_request.deadline_s) if until_ms > 0 else open_request.deadline_s
+        client = open_request.client
+        if client and (self.phase is Phase.CLOSED or client.has_left()):  # its close lies unread, soon to be told
             self.log.debug("client_left_unread", request=request)
             client = None
         over = client is None
         if client is None or entry is None or until <= now or attempt >= self.settings.limits.max_attempts:
             return self.post(it.Outcome(request, server, attempt, it.Status.MOOT, 0.0, over, ()))
         address, build = entry.address, entry.build
-        tag, allowed = self.ports.speech.tag(request, attempt), self._allowed(build)
+        tag, allowed = self.ports.appliance_protocol.tag(request, attempt), self._allowed(build)
 
         def begin() -> bytes | None:
             """What is written, with the time that is left by then; None where what was decided holds no more."""
-            waited = attempt in held.calls  # for a connection; else this is still the turn of the decision
+            waited = attempt in open_request.calls  # for a connection; else this is still the turn of the decision
             if waited and (
-                client.left()
+                client.has_left()
                 or self._allowed(build) < allowed
                 or not _same(entry, self.ports.list.entries.get(server))
             ):
                 self.log.info("attempt_withheld", request=request, attempt=attempt, server=server)
                 return None
             self.counts["attempts"] += 1
-            return self.ports.speech.attempt(held.ask, tag, address, (until - self._now()) * 1e3)
+            return self.ports.appliance_protocol.attempt(
+                open_request.request, tag, address, (until - self._now()) * 1e3
+            )
 
         def done(call: Call, end: End, answer: Any | None) -> None:
             if self.ports.fleet:
-                self.ports.fleet.ran(
+                self.ports.fleet.attempt_ended(
                     entry,
-                    held.ask.cls,
-                    TABLE[end].status,
+                    open_request.request.cls,
+                    END_MEANINGS[end].status,
                     (self._now() - call.started) * 1e3,
                     self.ports.desk.capped(build),
                 )
-            self._done(held, server, build, attempt, call, end, answer)
+            self._done(open_request, server, build, attempt, call, end, answer)
 
         if self.ports.fleet:
-            self.ports.fleet.sent(server)
-        if self.ports.keeper and self.ports.desk.capped(build):
-            self.ports.keeper.tried(build, held.ask.cls)
+            self.ports.fleet.attempt_sent(server)
+        if self.ports.state_store and self.ports.desk.capped(build):
+            self.ports.state_store.tried(build, open_request.request.cls)
         client.attempt(attempt + 1)
-        held.calls[attempt] = self.pool.call(address, tag, begin, until, done)
+        open_request.calls[attempt] = self.pool.call(address, tag, begin, until, done)
         self.log.debug("attempt", request=request, attempt=attempt, server=server, tag=tag)
 
     def _done(
         self,
-        held: Held,
+        open_request: OpenRequest,
         server: int,
         build: int,
         attempt: int,
@@ -103,28 +105,30 @@
         end: End,
         answer: Any | None,
     ) -> None:
-        held.calls.pop(attempt, None)
-        held.last = end
-        meaning = TABLE[end]
+        open_request.calls.pop(attempt, None)
+        open_request.last = end
+        meaning = END_MEANINGS[end]
         if meaning.status is not it.Status.OK:
             self.log.info(
-                "attempt_ended", request=held.number, attempt=attempt, server=server, end=end.name.lower()
+                "attempt_ended", request=open_request.number, attempt=attempt, server=server, end=end.name.lower()
             )
-        load = self.ports.speech.load(answer) if answer and self.settings.reports_in_answers else ()
+        load = self.ports.appliance_protocol.load(answer) if answer and self.settings.reports_in_answers else ()
         latency = (self._now() - call.started) * 1e3
-        client = held.client
+        client = open_request.client
         if meaning.status is it.Status.OK and client is not None and answer is not None:
             # the module hears of it before the client's next request is taken
-            held.client = None
+            open_request.client = None
             self.counts["served"] += 1
-            client.final(self.ports.speech.final(answer))
+            client.final(self.ports.appliance_protocol.final(answer))
             # the build that the attempt was sent to: another may have taken the server's name since
-            if self.ports.keeper and self.settings.rollout.one_way and held.ask.key:
-                self.ports.keeper.answered(key_of(held.ask.key), build, self.ports.desk.capped(build))
-        over = held.client is None
+            if self.ports.state_store and self.settings.rollout.one_way and open_request.request.key:
+                self.ports.state_store.answered(
+                    key_of(open_request.request.key), build, self.ports.desk.capped(build)
+                )
+        over = open_request.client is None
         if over:
-            self._forget(held)
-        self.post(it.Outcome(held.number, server, attempt, meaning.status, latency, over, load))
+            self._forget(open_request)
+        self.post(it.Outcome(open_request.number, server, attempt, meaning.status, latency, over, load))
         if over and client is not None:
             client.settled()
 
@@ -133,11 +137,11 @@
         entry, started = self.ports.list.entries.get(server), self._now()
 
         def done(_: Call, end: End, answer: Any | None) -> None:
-            load = self.ports.speech.load(answer) if answer else ()
-            self.post(it.ProbeResult(server, TABLE[end].status, (self._now() - started) * 1e3, load))
+            load = self.ports.appliance_protocol.load(answer) if answer else ()
+            self.post(it.ProbeResult(server, END_MEANINGS[end].status, (self._now() - started) * 1e3, load))
 
         if entry is None:
             return self.post(it.ProbeResult(server, it.Status.MOOT, 0.0, ()))
-        tag, payload = self.ports.speech.probe(server, entry.address)
+        tag, payload = self.ports.appliance_protocol.probe(server, entry.address)
         until = started + self.settings.rollout.call_timeout_ms / 1e3
         self.pool.call(entry.address, tag, lambda: payload, until, done)
--- a/otterquay/agent/back.py
+++ b/otterquay/agent/connection_pool.py
@@ -11,13 +11,13 @@
 from otterquay.addresses import split_address
 from otterquay.agent.exchange import Begin, Call, Connection, Use
 from otterquay.agent.outcomes import End
-from otterquay.agent.ports import Speech
-from otterquay.agent.sockets import unread
+from otterquay.agent.ports import ApplianceProtocol
+from otterquay.agent.sockets import has_unread_data
 from otterquay.logs import Logger
 from otterquay.protocol.http import ProtocolError
 
 READ_SIZE = 65536
-REST_TIMES, REST_MOST_S = 4, 0.05  # rest over how late a second answer was seen to come
+REST_TIMES, MAX_REST_S = 4, 0.05  # rest over how late a second answer was seen to come
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
 
     connect_timeout_s: float
     keepalive_s: float
-    speech: Speech
+    appliance_protocol: ApplianceProtocol
     log: Logger
     most: int = 0  # connections at one time; 0 for no bound
     rest_s: float = 0.0  # what lies idle for less is not used: what came after its answer may not be read yet
@@ -56,7 +56,7 @@
             free.remove(connection)
             if connection.closed or connection.reader.at_eof() or connection.writer.is_closing():
                 continue
-            if unread(connection.writer.transport):  # a second answer or a close that no turn has read yet
+            if has_unread_data(connection.writer.transport):  # a second answer or a close that no turn has read yet
                 self._close(connection)
             else:
                 call.rested = loop.time() - connection.idle_since
@@ -122,7 +122,7 @@
 
     def _unsent(self, connection: Connection) -> bool:
         """Whether some of a request that runs only when it came whole is still with us."""
-        return self.speech.runs_when_whole and connection.writer.transport.get_write_buffer_size() > 0
+        return self.appliance_protocol.runs_when_whole and connection.writer.transport.get_write_buffer_size() > 0
 
     def _overdue(self, call: Call) -> None:
         self._end(call, End.OVERDUE if self._sent(call) else End.OVERDUE_CONNECTING)
@@ -155,7 +155,7 @@
             call.task = None  # ends by itself
             self.log.info("connect_failed", address=call.address, error=str(error) or type(error).__name__)
             return self._end(call, End.NO_CONNECTION)
-        connection = Connection(call.address, reader, writer, self.speech.parser(), 0.0, use=call.use)
+        connection = Connection(call.address, reader, writer, self.appliance_protocol.parser(), 0.0, use=call.use)
         self.open.add(connection)
         self.opened += 1
         connection.task = asyncio.get_running_loop().create_task(self._read(connection))
@@ -201,7 +201,7 @@
         except ProtocolError as error:
             idle_s = None if connection.call else asyncio.get_running_loop().time() - connection.idle_since
             if idle_s and self.rest_s:  # nothing but the rest tells a second answer from the next one's
-                self.rest_s = max(self.rest_s, min(REST_TIMES * idle_s, REST_MOST_S))
+                self.rest_s = max(self.rest_s, min(REST_TIMES * idle_s, MAX_REST_S))
             self.log.warning(
                 "garbage_from_appliance", address=connection.address, error=error.reason, idle_s=idle_s
             )
@@ -222,7 +222,7 @@
             self._close(connection)
 
     def _answered(self, connection: Connection, call: Call, answer: Any) -> None:
-        end = self.speech.end(call.tag, answer)
+        end = self.appliance_protocol.end(call.tag, answer)
         if end is End.MISMATCH:
             self.log.warning("answer_out_of_step", address=call.address, expected=call.tag.decode())
             return self._end(call, end)
--- a/otterquay/agent/feeds.py
+++ b/otterquay/agent/feeds.py
@@ -25,8 +25,10 @@
 }
 
 
-LISTED_MOST = 16384  # servers in the list; further ones are refused
-GONE_MOST = 16384  # servers that left whose last start is kept, so that one that comes back is known again
+MAX_LISTED_SERVERS = 16384  # servers in the list; further ones are refused
+MAX_DEPARTED_SERVERS = (
+    16384  # servers that left whose last start is kept, so that one that comes back is known again
+)
 REFUSED_LOGGED = 20  # lines about refused entries of one list
 
 
@@ -68,7 +70,7 @@
         return True
 
 
-class FleetBook:
+class FleetRegistry:
     """The list held, and how servers are reached. `refused` and `ended` tell of the news taken last: entries that
     were not taken, and addresses whose process has ended or was replaced."""
 
@@ -89,11 +91,11 @@
 
     def cached(self, fleet: news.FleetNews, now_ms: float) -> it.ServerList:
         """The list of before a restart: ages as they were written, which takes no server for warmer than it is."""
-        event = self.take(it.ListKind.CACHED, fleet, now_ms)
+        event = self.apply(it.ListKind.CACHED, fleet, now_ms)
         self._lives = {}
         return event
 
-    def heard(self, id: str, fleet: news.FleetNews, now_ms: float) -> it.ServerList | None:
+    def apply_event(self, id: str, fleet: news.FleetNews, now_ms: float) -> it.ServerList | None:
         """The module's event for news, None for what was heard before; Gap for changes to another list."""
         epoch, version = news.parse_id(id)
         if version != fleet.version:
@@ -104,9 +106,9 @@
             raise Gap(f"changes from version {fleet.base}, held is {self._version}")
         self._epoch, self._version = epoch, version
         kind = it.ListKind.FULL if fleet.base is None else it.ListKind.DELTA
-        return self.take(kind, fleet, now_ms)
+        return self.apply(kind, fleet, now_ms)
 
-    def take(self, kind: it.ListKind, fleet: news.FleetNews, now_ms: float) -> it.ServerList:
+    def apply(self, kind: it.ListKind, fleet: news.FleetNews, now_ms: float) -> it.ServerList:
         """The module's event for news whose source itself sees to order and gaps."""
         self.refused, named = [], dict.fromkeys(e.server for e in fleet.entries)
         # changes touch what they name alone: their cost does not grow with the list
@@ -155,8 +157,8 @@
     def _problem(self, entry: news.Entry) -> str:
         if entry.zone not in self._zones:
             return f"unknown zone {entry.zone!r}"
-        if len(self.entries) >= LISTED_MOST and entry.server not in self.entries:
-            return f"over {LISTED_MOST} servers are listed"
+        if len(self.entries) >= MAX_LISTED_SERVERS and entry.server not in self.entries:
+            return f"over {MAX_LISTED_SERVERS} servers are listed"
         try:
             parse_address(entry.address)
         except ValueError as error:
@@ -167,7 +169,7 @@
         self.entries.pop(server, None)
         if life := self._lives.pop(server, None):
             self._gone[server] = life
-            if len(self._gone) > GONE_MOST:
+            if len(self._gone) > MAX_DEPARTED_SERVERS:
                 self._gone.popitem(last=False)
 
     def _start(self, entry: news.Entry, now_ms: float) -> float:
@@ -183,7 +185,7 @@
         return start
 
 
-class DeskBook:
+class DeskRecord:
     """Where the newest build stands, by events and by answers to votes, whichever is later."""
 
     def __init__(self, classes: Sequence[str], stages: int) -> None:
@@ -191,7 +193,7 @@
         self._cursor = Cursor()
         self._held: tuple[str, int, news.Stage, float] | None = None
 
-    def heard(self, id: str, kind: str, data: bytes, now_ms: float) -> it.Event | None:
+    def apply_event(self, id: str, kind: str, data: bytes, now_ms: float) -> it.Event | None:
         """The module's event, None for what was heard before or is of no known kind; ValueError when malformed."""
         if not self._cursor.later(id):
             return None
--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass, field, replace
 
 from otterquay.addresses import split_address
-from otterquay.agent.ports import Ask, Final, Taker
+from otterquay.agent.ports import ClientRequest, FinalAnswer, RequestHandler
 from otterquay.agent.sockets import peer_closed
-from otterquay.agent.standstill import BEAT_S, Standstill
+from otterquay.agent.stall_detector import HEARTBEAT_S, StallDetector
 from otterquay.agent.write_stall import WriteStall
 from otterquay.config.schema import Service
 from otterquay.logs import Logger
@@ -57,7 +57,7 @@
             [c.deadline for c in service.class_.values()],
         )
 
-    def read(self, http: HttpRequest) -> Ask:
+    def read(self, http: HttpRequest) -> ClientRequest:
         """The ask in a request; ProtocolError names the header at fault and what it may be."""
         headers = http.headers
         cls = self.classes.get(headers.get(CLASS, b""))
@@ -71,7 +71,7 @@
         key = headers.get(KEY, b"")
         if len(key) > 255:
             raise ProtocolError(400, "idempotency-key: at most 255 bytes")
-        return Ask(http, cls, tenant, key, budget, _number(headers, WORK), headers.get(RETRY) == b"1")
+        return ClientRequest(http, cls, tenant, key, budget, _number(headers, WORK), headers.get(RETRY) == b"1")
 
 
 def plain(status: int, text: str, keep_alive: bool, *extra: tuple[bytes, bytes]) -> bytes:
@@ -108,7 +108,7 @@
     resuming: asyncio.Task[None] | None = None
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def final(self, answer: Final) -> None:
+    def final(self, answer: FinalAnswer) -> None:
         """Write the final answer in HTTP's words."""
         if answer.kind == "refused":
             return self.answer(refusal("refused", self.keep_alive, answer.retry_after_ms))
@@ -127,7 +127,7 @@
         if self.waiting:
             self.go_on(self)
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """Whether its close lies unread at the socket."""
         return peer_closed(self.writer.transport)
 
@@ -148,14 +148,14 @@
     """The listener."""
 
     service: Service
-    taker: Taker
+    taker: RequestHandler
     log: Logger
     clients: set[Client] = field(default_factory=set)
     stopping: bool = False
     _server: asyncio.Server | None = None
     _sweeper: asyncio.TimerHandle | None = None
     _beater: asyncio.TimerHandle | None = None
-    _standstill: Standstill = field(init=False)
+    _standstill: StallDetector = field(init=False)
     _reader: Reader = field(init=False)
 
     def __post_init__(self) -> None:
@@ -166,7 +166,7 @@
         host, port = split_address(self.service.agent.listen)
         self._server = await asyncio.start_server(self._serve, host, port, backlog=1024)
         name = self._server.sockets[0].getsockname()
-        self._standstill = Standstill(asyncio.get_running_loop().time())
+        self._standstill = StallDetector(asyncio.get_running_loop().time())
         self._beat()
         self._sweep()
         return str(name[0]), int(name[1])
@@ -237,7 +237,7 @@
                 return
             now = client.idle_since = loop.time()
             whole = parser.feed(data)
-            came = now - self._standstill.waited(now)
+            came = now - self._standstill.max_wait_s(now)
             client.waiting.extend([(http, came) for http in whole])
             if not parser.started:
                 client.head_since = None
@@ -258,14 +258,14 @@
             http, came = client.waiting.popleft()
             client.keep_alive = http.keep_alive and not self.stopping
             try:
-                ask = self._reader.read(http)
+                client_request = self._reader.read(http)
             except ProtocolError as error:
                 self.log.info("request_refused", status=error.status, reason=error.reason)
                 client.answer(plain(error.status, error.reason, client.keep_alive))
                 continue
             if (waited := (asyncio.get_running_loop().time() - came) * 1e3) > 1.0:  # the client's time ran on
-                ask = replace(ask, budget_ms=max(ask.budget_ms - waited, 0.0))
-            if self.stopping or not self.taker.take(ask, client):
+                client_request = replace(client_request, budget_ms=max(client_request.budget_ms - waited, 0.0))
+            if self.stopping or not self.taker.take(client_request, client):
                 client.answer(refusal("nothing more is taken", client.keep_alive))
 
     async def _resume(self, client: Client) -> None:
@@ -280,8 +280,8 @@
 
     def _beat(self) -> None:
         loop = asyncio.get_running_loop()
-        self._standstill.beaten(loop.time())
-        self._beater = loop.call_later(BEAT_S, self._beat)
+        self._standstill.heartbeat(loop.time())
+        self._beater = loop.call_later(HEARTBEAT_S, self._beat)
 
     def _sweep(self) -> None:
         """End clients that idle, that never finish a request, or that never read. One timer for all."""
@@ -289,7 +289,7 @@
         now = loop.time()
         for client in list(self.clients):
             unsent = client.writer.transport.get_write_buffer_size()
-            if client.write_stall.stuck(unsent, now) >= bounds.write_timeout / 1e3:
+            if client.write_stall.stalled_s(unsent, now) >= bounds.write_timeout / 1e3:
                 self.log.info("client_ended", reason="does not read", unsent=unsent)
                 client.writer.transport.abort()
             elif client.number is not None or client.waiting:
--- a/otterquay/agent/web.py
+++ b/otterquay/agent/http_agent.py
@@ -9,15 +9,15 @@
 import msgspec
 
 from otterquay import interface as it
-from otterquay.agent.back import Pool
+from otterquay.agent.connection_pool import Pool
 from otterquay.agent.exchange import Call
-from otterquay.agent.feeds import DeskBook, FleetBook, Gap
+from otterquay.agent.feeds import DeskRecord, FleetRegistry, Gap
 from otterquay.agent.front import ANSWER, BUDGET, Front
-from otterquay.agent.keeper import Keeper
 from otterquay.agent.outcomes import End, end_of_answer
 from otterquay.agent.peers import PeerSocket
-from otterquay.agent.ports import Ask, Final, Ports
-from otterquay.agent.runtime import Decider, Runtime
+from otterquay.agent.ports import ClientRequest, FinalAnswer, Ports
+from otterquay.agent.runtime import DecisionModule, Runtime
+from otterquay.agent.state_store import AgentStateStore
 from otterquay.agent.streams import Restart, Stream
 from otterquay.chat.gateway import Gateway
 from otterquay.chat.hub import News
@@ -42,7 +42,7 @@
 }
 
 
-class HttpSpeech:
+class HttpApplianceProtocol:
     """HTTP/1.1 towards appliances; each attempt names itself, and an answer that names another counts as none."""
 
     runs_when_whole = False  # an appliance may begin on a request whose content is still to come
@@ -60,9 +60,9 @@
         """By which an attempt is known; the appliance sends it back."""
         return b"%d-%d" % (request, attempt)
 
-    def attempt(self, ask: Ask, tag: bytes, address: str, left_ms: float) -> bytes:
+    def attempt(self, client_request: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
         """The client's message with our header fields."""
-        http = ask.message
+        http = client_request.message
         headers = [(b"host", address.encode()), (ECHO, tag), (AGENT, b"%d" % self._agent)]
         headers += [item for item in http.headers.items() if item[0] not in SKIPPED]
         return write_request(http.method, http.target, headers, http.body)
@@ -82,17 +82,17 @@
         """Its load report."""
         return orca.parse(answer.headers.get(orca.HEADER, b""), self._fields)
 
-    def final(self, answer: HttpResponse) -> Final:
+    def final(self, answer: HttpResponse) -> FinalAnswer:
         """What the client gets of it."""
         headers = tuple([item for item in answer.headers.items() if item[0] not in UNANSWERED_SKIPPED])
-        return Final("served", answer.status, headers, answer.body)
+        return FinalAnswer("served", answer.status, headers, answer.body)
 
 
-class StreamList:
+class SseServerList:
     """The server list over server-sent events."""
 
     def __init__(self, service: Service, runtime: Runtime, rng: random.Random, log: Logger) -> None:
-        self.book, self._runtime, self._log = FleetBook(service.zones), runtime, log
+        self.book, self._runtime, self._log = FleetRegistry(service.zones), runtime, log
         feeds = service.feeds
         self._stream = Stream(
             feeds.fleet.rstrip("/") + "/v1/fleet",
@@ -125,26 +125,26 @@
             return
         fleet, refused = news.decode_fleet(event.data)
         try:
-            told = self.book.heard(event.id, fleet, asyncio.get_running_loop().time() * 1e3)
+            told = self.book.apply_event(event.id, fleet, asyncio.get_running_loop().time() * 1e3)
         except Gap as gap:
             raise Restart(str(gap)) from None
         if told is None:
             self._log.info("list_repeated", id=event.id)
             return
         self.book.log_refused(refused, self._log)
-        self._runtime.listed(told, self.book.ended)
+        self._runtime.on_server_list(told, self.book.ended)
 
     def _broken(self, reason: str) -> None:
         if self._runtime.settings.discovery is it.Discovery.ASK:
             self.follow(False)
-            self._runtime.listed(it.ServerList(it.ListKind.FAILED, 0, ()))
+            self._runtime.on_server_list(it.ServerList(it.ListKind.FAILED, 0, ()))
 
 
-class StreamDesk:
+class SseReleaseDesk:
     """The release desk: news over server-sent events, votes by POST."""
 
     def __init__(self, service: Service, runtime: Runtime, rng: random.Random, log: Logger) -> None:
-        self.book = DeskBook(list(service.class_), len(service.rollout.stage))
+        self.book = DeskRecord(list(service.class_), len(service.rollout.stage))
         self._agent, self._runtime, self._log = service.agent.number, runtime, log
         feeds = service.feeds
         self._stream = Stream(
@@ -173,9 +173,9 @@
 
     def _event(self, event: SseEvent) -> None:
         now = asyncio.get_running_loop().time() * 1e3
-        told = self.book.heard(event.id, event.event, event.data.encode(), now)
+        told = self.book.apply_event(event.id, event.event, event.data.encode(), now)
         if told is not None:
-            self._runtime.told(told)
+            self._runtime.on_news(told)
 
     def vote(self, vote: it.CastVote, done: Callable[[it.StageNews], None]) -> None:
         """Post a vote; `done` gets the module's event for its end."""
@@ -209,7 +209,7 @@
         return it.Status.OK, found
 
 
-class WebAgent(Runtime):
+class HttpAgent(Runtime):
     """The runtime with HTTP's ports, chat, the store, and messages under a shared key."""
 
     def __init__(
@@ -219,17 +219,19 @@
         log: Logger,
         peer_key: bytes | None = None,
         store: Store | None = None,
-        decider: Callable[[it.Settings, int], Decider] = Agent,
+        decider: Callable[[it.Settings, int], DecisionModule] = Agent,
         chat_key: bytes | None = None,
     ) -> None:
         settings, limits, back = module_settings(service), service.limits, service.back
-        speech = HttpSpeech(service.agent.number, settings.report_fields, back.max_head, back.max_answer)
-        pool = Pool(limits.connect_timeout / 1e3, limits.keepalive / 1e3, speech, log)
+        appliance_protocol = HttpApplianceProtocol(
+            service.agent.number, settings.report_fields, back.max_head, back.max_answer
+        )
+        pool = Pool(limits.connect_timeout / 1e3, limits.keepalive / 1e3, appliance_protocol, log)
         super().__init__(settings, pool, rng, log, decider)
         self.service = service
-        self._keeper = Keeper(store, settings.rollout.window_ms, log) if store else None
+        self._state_store = AgentStateStore(store, settings.rollout.window_ms, log) if store else None
         self.front = Front(service, self, log)
-        listed, desk = StreamList(service, self, rng, log), StreamDesk(service, self, rng, log)
+        listed, desk = SseServerList(service, self, rng, log), SseReleaseDesk(service, self, rng, log)
         self._fleet, self._desk = listed.book, desk.book
         peers = None
         if limits.peers and service.peers and peer_key:
@@ -241,15 +243,24 @@
         self.gateway: Gateway | None = None
         if service.chat and chat_key:
             self.gateway = Gateway(service, chat_key, rng, log, self.take, self.report, store)
-        self.ports = Ports(self.front, listed, desk, speech, self._recalled, peers, self._keeper, words=self._words)
+        self.ports = Ports(
+            self.front,
+            listed,
+            desk,
+            appliance_protocol,
+            self._recalled,
+            peers,
+            self._state_store,
+            words=self._words,
+        )
 
     def _words(self, text: str) -> None:
         if self.gateway:
             self.gateway.feed(News(text))
 
     def _recalled(self, now_ms: float) -> Iterator[it.Event]:
-        if self._keeper:
-            fleet, events = self._keeper.recall(now_ms)
+        if self._state_store:
+            fleet, events = self._state_store.recall(now_ms)
             yield from events
             if fleet:
                 yield self._fleet.cached(fleet, now_ms)
--- a/otterquay/agent/lifecycle.py
+++ b/otterquay/agent/lifecycle.py
@@ -12,13 +12,13 @@
 from enum import Enum
 
 from otterquay import interface as it
-from otterquay.agent.back import Pool
+from otterquay.agent.connection_pool import Pool
 from otterquay.agent.exchange import Call
 from otterquay.agent.outcomes import End
-from otterquay.agent.ports import Ask, Asker, Final, Ports
+from otterquay.agent.ports import ClientRequest, FinalAnswer, Ports, Requester
 from otterquay.logs import Logger
 
-DRAIN_LOOK_S = 0.02  # between looks at what a drain still waits for
+DRAIN_POLL_S = 0.02  # between looks at what a drain still waits for
 
 
 class Phase(Enum):
@@ -31,12 +31,12 @@
 
 
 @dataclass(slots=True)
-class Held:
+class OpenRequest:
     """A request that was taken; `client` is None once nothing more is owed."""
 
     number: int
-    ask: Ask
-    client: Asker | None
+    request: ClientRequest
+    client: Requester | None
     deadline_s: float
     attempts: int = 0
     calls: dict[int, Call] = field(default_factory=dict)
@@ -51,7 +51,7 @@
     settings: it.Settings
     pool: Pool
     log: Logger
-    held: dict[int, Held]
+    open_requests: dict[int, OpenRequest]
     counts: dict[str, int]
     _timers: set[asyncio.TimerHandle]
     _now: Callable[[], float]
@@ -64,7 +64,7 @@
         """Hand an event to the module."""
         raise NotImplementedError
 
-    def _answer(self, held: Held, answer: Final) -> None:
+    def _answer(self, open_request: OpenRequest, answer: FinalAnswer) -> None:
         raise NotImplementedError
 
     async def start(self) -> tuple[str, int]:
@@ -92,7 +92,7 @@
         await self.drain()
         settled = self._now() + self.settle_s  # who asks once more meanwhile is refused
         while self._now() < settled and not self.ports.front.drained():
-            await asyncio.sleep(DRAIN_LOOK_S)
+            await asyncio.sleep(DRAIN_POLL_S)
         self.close()
         self.log.info("agent_stopped", **self.counts)
 
@@ -103,31 +103,34 @@
         """
         self.phase = Phase.DRAINING
         self.ports.front.drain()
-        self.log.info("agent_draining", held=len(self.held))
+        self.log.info("agent_draining", held=len(self.open_requests))
         while (left := self.drain_until - self._now()) > 0 and not self._drained():
-            await asyncio.sleep(min(left, DRAIN_LOOK_S))
-        if owed := [held for held in self.held.values() if held.client]:
+            await asyncio.sleep(min(left, DRAIN_POLL_S))
+        if owed := [open_request for open_request in self.open_requests.values() if open_request.client]:
             self.log.warning("drain_ended_with_requests_held", held=len(owed))
-        for held in owed:
-            self._fail_held(held)
+        for open_request in owed:
+            self._fail_held(open_request)
 
     def _drained(self) -> bool:
-        return not any(held.client for held in self.held.values()) and self.ports.front.drained()
+        return (
+            not any(open_request.client for open_request in self.open_requests.values())
+            and self.ports.front.drained()
+        )
 
-    def _fail_held(self, held: Held) -> None:
+    def _fail_held(self, open_request: OpenRequest) -> None:
         """Its final answer when there is no more time; whatever is out for it is given up."""
-        if held.client:
-            self._answer(held, Final("failed", body=b"the agent ends\n"))
-            self.post(it.Abandoned(held.number))
-            for call in list(held.calls.values()):
+        if open_request.client:
+            self._answer(open_request, FinalAnswer("failed", body=b"the agent ends\n"))
+            self.post(it.Abandoned(open_request.number))
+            for call in list(open_request.calls.values()):
                 self.pool.cancel(call)
 
     def close(self) -> None:
         """Close all sockets and timers at once."""
         self.phase = Phase.CLOSED
         ports = self.ports
-        if ports.keeper:
-            ports.keeper.flush()
+        if ports.state_store:
+            ports.state_store.flush()
         ports.list.follow(False)
         ports.desk.close()
         for timer in self._timers:
--- a/otterquay/agent/outcomes.py
+++ b/otterquay/agent/outcomes.py
@@ -41,7 +41,7 @@
     reason: str
 
 
-TABLE: dict[End, Meaning] = {
+END_MEANINGS: dict[End, Meaning] = {
     End.ANSWER: Meaning(Status.OK, False, "the appliance answered; below 500 the answer is the client's affair"),
     End.SERVER_ERROR: Meaning(Status.ERROR, False, "it failed while or after working on it"),
     End.TURNED_AWAY: Meaning(Status.FULL, True, "the appliance vouches that it did not look at it"),
--- a/otterquay/agent/ports.py
+++ b/otterquay/agent/ports.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ClientRequest:
     """A client's request, checked: what the module is told of it, and the message that goes on to the appliance."""
 
     message: Any
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Final:
+class FinalAnswer:
     """The one final answer to a request. Status, headers and content are the appliance's where it was served."""
 
     kind: str  # "served", "refused" or "failed"
@@ -40,25 +40,25 @@
     overdue: bool = False  # failed, and its last attempt had run out of time
 
 
-class Asker(Protocol):
+class Requester(Protocol):
     """Who asked: gets the one final answer, word of each attempt, and is told when the books are done with it."""
 
     number: int | None
 
-    def final(self, answer: Final) -> None: ...
+    def final(self, answer: FinalAnswer) -> None: ...
 
     def attempt(self, count: int) -> None: ...
 
     def settled(self) -> None: ...
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """Whether its close lies unread at the socket."""
 
 
-class Taker(Protocol):
+class RequestHandler(Protocol):
     """Who takes requests: sets the client's number, by which it may be abandoned; False when it takes none."""
 
-    def take(self, ask: Ask, client: Asker) -> bool: ...
+    def take(self, client_request: ClientRequest, client: Requester) -> bool: ...
 
     def abandon(self, number: int) -> None: ...
 
@@ -84,7 +84,7 @@
     def eof(self) -> Any | None: ...
 
 
-class Speech(Protocol):
+class ApplianceProtocol(Protocol):
     """The words spoken to appliances. `runs_when_whole`: what was not written to its last byte has never run."""
 
     runs_when_whole: bool
@@ -94,7 +94,7 @@
     def tag(self, request: int, attempt: int) -> bytes:
         """By which an attempt is known."""
 
-    def attempt(self, ask: Ask, tag: bytes, address: str, left_ms: float) -> bytes:
+    def attempt(self, client_request: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
         """What is written for an attempt that is waited for `left_ms` more."""
 
     def probe(self, server: int, address: str) -> tuple[bytes, bytes]: ...
@@ -105,7 +105,7 @@
     def load(self, answer: Any) -> tuple[float, ...]:
         """Its load report, empty for none."""
 
-    def final(self, answer: Any) -> Final:
+    def final(self, answer: Any) -> FinalAnswer:
         """What the client gets of an answer that serves."""
 
 
@@ -156,7 +156,7 @@
     def close(self) -> None: ...
 
 
-class KeeperPort(Protocol):
+class StateStorePort(Protocol):
     """What outlasts a restart."""
 
     def list(self, held: Mapping[int, news.Entry]) -> None: ...
@@ -179,13 +179,15 @@
 
     async def stop(self) -> None: ...
 
-    def tightened(self, news: it.StageNews) -> it.StageNews: ...
+    def restrict_stage(self, news: it.StageNews) -> it.StageNews: ...
 
     def voted(self, vote: it.CastVote) -> None: ...
 
-    def sent(self, server: int) -> None: ...
+    def attempt_sent(self, server: int) -> None: ...
 
-    def ran(self, entry: news.Entry, cls: int, end: it.Status, latency_ms: float, trial: bool) -> None: ...
+    def attempt_ended(
+        self, entry: news.Entry, cls: int, end: it.Status, latency_ms: float, trial: bool
+    ) -> None: ...
 
 
 @dataclass(slots=True)
@@ -195,9 +197,9 @@
     front: FrontPort
     list: ListPort
     desk: DeskPort
-    speech: Speech
+    appliance_protocol: ApplianceProtocol
     begin: Callable[[float], Iterable[it.Event]]
     peers: PeersPort | None = None
-    keeper: KeeperPort | None = None
+    state_store: StateStorePort | None = None
     fleet: FleetPort | None = None
     words: Callable[[str], None] = lambda _: None
--- a/otterquay/agent/reconnect.py
+++ b/otterquay/agent/reconnect.py
@@ -10,7 +10,12 @@
 from otterquay.logs import Logger
 from otterquay.protocol.http import ProtocolError
 
-BREAKS = (OSError, TimeoutError, ProtocolError, ValueError)  # of what others do; all else is a fault of ours
+CONNECTION_ERRORS = (
+    OSError,
+    TimeoutError,
+    ProtocolError,
+    ValueError,
+)  # of what others do; all else is a fault of ours
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +31,7 @@
     rng: random.Random
     least_s: float
     most_s: float
-    breaks: tuple[type[Exception], ...] = BREAKS
+    breaks: tuple[type[Exception], ...] = CONNECTION_ERRORS
 
     async def run(self) -> None:
         """Until cancelled or stopped; waits at random below a bound that doubles with each failure in a row."""
--- a/otterquay/agent/runtime.py
+++ b/otterquay/agent/runtime.py
@@ -16,10 +16,10 @@
 
 from otterquay import interface as it
 from otterquay.agent.attempts import Attempts, key_of
-from otterquay.agent.back import Pool
-from otterquay.agent.lifecycle import Held, Phase
+from otterquay.agent.connection_pool import Pool
+from otterquay.agent.lifecycle import OpenRequest, Phase
 from otterquay.agent.outcomes import End
-from otterquay.agent.ports import Ask, Asker, Final
+from otterquay.agent.ports import ClientRequest, FinalAnswer, Requester
 from otterquay.logs import Logger
 from otterquay.policy.agent import Agent
 
@@ -27,7 +27,7 @@
 OVERDUE = (End.OVERDUE, End.OVERDUE_CONNECTING)
 
 
-class Decider(Protocol):
+class DecisionModule(Protocol):
     """The decision module, as the runtime sees it."""
 
     def handle(self, now: float, event: it.Event) -> list[it.Action]: ...
@@ -42,14 +42,14 @@
         pool: Pool,
         rng: random.Random,
         log: Logger,
-        decider: Callable[[it.Settings, int], Decider] = Agent,
+        decider: Callable[[it.Settings, int], DecisionModule] = Agent,
     ) -> None:
         super().__init__()
         self.settings, self.pool, self.log = settings, pool, log
         self._agent = decider(settings, rng.getrandbits(64))
         self._queue: deque[it.Event] = deque()
         self._feeding = False
-        self.held: dict[int, Held] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self._numbers = 0
         self._next_vote: it.CastVote | None = None  # the newest not yet sent: it stands for all before it
         self._voting = False
@@ -91,8 +91,8 @@
     def _drop(self, event: it.Event) -> None:
         """The module failed on this event: what it was about is failed, as nothing is known of it."""
         number = getattr(event, "request", None)
-        if isinstance(number, int) and (held := self.held.get(number)) and held.client:
-            self._answer(held, Final("failed", body=b"no decision\n"))
+        if isinstance(number, int) and (open_request := self.open_requests.get(number)) and open_request.client:
+            self._answer(open_request, FinalAnswer("failed", body=b"no decision\n"))
         if isinstance(event, it.TimerFired):
             self._set_timer(AGAIN_MS, event.token)
 
@@ -103,13 +103,15 @@
             case it.SetTimer(delay, token):
                 self._set_timer(delay, token)
             case it.Refuse(request, retry_after_ms):
-                if (held := self.held.get(request)) and held.client:
-                    self._answer(held, Final("refused", retry_after_ms=retry_after_ms))
+                if (open_request := self.open_requests.get(request)) and open_request.client:
+                    self._answer(open_request, FinalAnswer("refused", retry_after_ms=retry_after_ms))
             case it.Fail(request):
-                if (held := self.held.get(request)) and held.client:
-                    self._answer(held, Final("failed", body=b"failed\n", overdue=held.last in OVERDUE))
+                if (open_request := self.open_requests.get(request)) and open_request.client:
+                    self._answer(
+                        open_request, FinalAnswer("failed", body=b"failed\n", overdue=open_request.last in OVERDUE)
+                    )
             case it.Cancel(request, attempt):
-                if (held := self.held.get(request)) and (call := held.calls.get(attempt)):
+                if (open_request := self.open_requests.get(request)) and (call := open_request.calls.get(attempt)):
                     self.pool.cancel(call)
             case it.Probe(server):
                 self._probe(server)
@@ -128,8 +130,8 @@
                         verdict=self._next_vote.verdict.name,
                     )
                 self._next_vote = action
-                if self.ports.keeper:
-                    self.ports.keeper.voted(action)
+                if self.ports.state_store:
+                    self.ports.state_store.voted(action)
                 if self.ports.fleet:
                     self.ports.fleet.voted(action)
                 self._vote_next()
@@ -150,7 +152,7 @@
         if what == "votes":
             return "\n".join(self._said) or "no vote yet"
         counts = ", ".join(f"{n} {kind}" for kind, n in self.counts.items())
-        fleet = f"{len(self.ports.list.entries)} servers listed; {len(self.held)} held"
+        fleet = f"{len(self.ports.list.entries)} servers listed; {len(self.open_requests)} held"
         return f"{self.ports.desk.standing()}; {fleet}; {counts}"
 
     def _set_timer(self, delay_ms: float, token: int) -> None:
@@ -162,32 +164,34 @@
         self._timers.add(handle)
 
     # --- requests ---
-    def take(self, ask: Ask, client: Asker) -> bool:
+    def take(self, client_request: ClientRequest, client: Requester) -> bool:
         """Take a client's request; False when as many are open as the settings allow, or a drain is over."""
         if self.phase is Phase.CLOSED or self._now() >= self.drain_until:
             return False
-        if len(self.held) >= self.settings.limits.max_open:
+        if len(self.open_requests) >= self.settings.limits.max_open:
             self.log.warning("request_refused", status=503, reason="max_open")
             return False
         left_ms = (self.drain_until - self._now()) * 1e3
-        if ask.budget_ms > left_ms:  # its answer has to come before the end
-            ask = replace(ask, budget_ms=max(left_ms, 0.0))
+        if client_request.budget_ms > left_ms:  # its answer has to come before the end
+            client_request = replace(client_request, budget_ms=max(left_ms, 0.0))
         self._numbers += 1
         number = client.number = self._numbers
-        self.held[number] = Held(number, ask, client, self._now() + ask.budget_ms / 1e3)
+        self.open_requests[number] = OpenRequest(
+            number, client_request, client, self._now() + client_request.budget_ms / 1e3
+        )
         self.counts["taken"] += 1
-        key = key_of(ask.key) if ask.key else 0
-        effect = self.settings.classes[ask.cls].effect
+        key = key_of(client_request.key) if client_request.key else 0
+        effect = self.settings.classes[client_request.cls].effect
         self.post(
             it.Request(
                 number,
-                ask.cls,
-                ask.tenant,
+                client_request.cls,
+                client_request.tenant,
                 key,
-                ask.budget_ms,
-                ask.work_ms or 0.0,
-                ask.work_ms is not None,
-                ask.retry,
+                client_request.budget_ms,
+                client_request.work_ms or 0.0,
+                client_request.work_ms is not None,
+                client_request.retry,
                 effect is not it.Effect.SAFE,
             )
         )
@@ -195,48 +199,48 @@
 
     def abandon(self, number: int) -> None:
         """The client has left."""
-        if (held := self.held.get(number)) and held.client:
-            held.client = None
+        if (open_request := self.open_requests.get(number)) and open_request.client:
+            open_request.client = None
             self.counts["abandoned"] += 1
-            self._forget(held)
+            self._forget(open_request)
             self.post(it.Abandoned(number))
-            for call in list(held.calls.values()):
+            for call in list(open_request.calls.values()):
                 self.pool.withhold(call)
 
-    def _forget(self, held: Held) -> None:
-        if held.client is None and not held.calls:
-            del self.held[held.number]
+    def _forget(self, open_request: OpenRequest) -> None:
+        if open_request.client is None and not open_request.calls:
+            del self.open_requests[open_request.number]
 
-    def _answer(self, held: Held, answer: Final) -> None:
-        client, held.client = held.client, None
+    def _answer(self, open_request: OpenRequest, answer: FinalAnswer) -> None:
+        client, open_request.client = open_request.client, None
         assert client is not None
         self.counts[answer.kind] += 1
         client.final(answer)
-        self._forget(held)
+        self._forget(open_request)
         client.settled()
 
     # --- feeds ---
-    def listed(self, told: it.ServerList, ended: Iterable[str] = ()) -> None:
+    def on_server_list(self, told: it.ServerList, ended: Iterable[str] = ()) -> None:
         """News of the list, and the addresses whose process has ended or was replaced."""
         self.pool.retire(ended)
         self.post(told)
-        if self.ports.keeper and told.kind is not it.ListKind.FAILED:
-            self.ports.keeper.list(self.ports.list.entries)
+        if self.ports.state_store and told.kind is not it.ListKind.FAILED:
+            self.ports.state_store.list(self.ports.list.entries)
 
-    def told(self, news: it.Event) -> None:
+    def on_news(self, news: it.Event) -> None:
         """News of where builds stand, of what the platform counted, or of a client's complaint."""
         if isinstance(news, it.StageNews) and self.ports.fleet:
-            self._stage, news = news, self.ports.fleet.tightened(news)
+            self._stage, news = news, self.ports.fleet.restrict_stage(news)
         self.post(news)  # first: whatever the store makes of it, the module has heard
         if isinstance(news, it.StageNews):
-            if self.ports.keeper:
-                self.ports.keeper.stage(news)
+            if self.ports.state_store:
+                self.ports.state_store.stage(news)
             self._tell(self.ports.desk.standing())
 
-    def tell_again(self) -> None:
+    def repost_stage(self) -> None:
         """What the fleet's work holds beside the desk has changed: the newest stage is told with it."""
         if self._stage is not None and self.ports.fleet:
-            self.post(self.ports.fleet.tightened(self._stage))
+            self.post(self.ports.fleet.restrict_stage(self._stage))
 
     # --- votes ---
     def _vote_next(self) -> None:
@@ -248,5 +252,5 @@
 
     def _voted(self, ended: it.StageNews) -> None:
         self._voting = False
-        self.post(self.ports.fleet.tightened(ended) if self.ports.fleet else ended)
+        self.post(self.ports.fleet.restrict_stage(ended) if self.ports.fleet else ended)
         self._vote_next()
--- a/otterquay/agent/sockets.py
+++ b/otterquay/agent/sockets.py
@@ -27,7 +27,7 @@
     return _poll(fd, mask)
 
 
-def unread(transport: asyncio.BaseTransport) -> bool:
+def has_unread_data(transport: asyncio.BaseTransport) -> bool:
     """Whether bytes, a FIN or a fault lie at the socket that nobody has read."""
     return _events(transport, select.POLLIN) != 0
 
@@ -37,6 +37,6 @@
     return _events(transport, select.POLLRDHUP) & (_ENDED | select.POLLRDHUP) != 0
 
 
-def takes(fd: int) -> bool:
+def is_writable(fd: int) -> bool:
     """Whether a write of up to a page (4 KiB) to a pipe, a file or a terminal would not wait for its reader."""
     return _poll(fd, select.POLLOUT) & select.POLLOUT != 0
--- a/otterquay/agent/standstill.py
+++ b/otterquay/agent/stall_detector.py
@@ -9,27 +9,27 @@
 
 from dataclasses import dataclass
 
-BEAT_S, WOKEN_S, AFTER_S = 0.1, 0.1, 0.01
+HEARTBEAT_S, STALL_THRESHOLD_S, AFTER_STALL_S = 0.1, 0.1, 0.01
 
 
 @dataclass(slots=True)
-class Standstill:
+class StallDetector:
     """Beats, and the last time the agent stood still."""
 
     beat: float
     begin: float = 0.0
     end: float = 0.0
 
-    def beaten(self, now: float) -> None:
+    def heartbeat(self, now: float) -> None:
         """The beat has come."""
         self._look(now)
         self.beat = now
 
-    def waited(self, now: float) -> float:
+    def max_wait_s(self, now: float) -> float:
         """How long something that is read now may have waited."""
         self._look(now)
-        return now - self.begin if now <= self.end + AFTER_S else 0.0
+        return now - self.begin if now <= self.end + AFTER_STALL_S else 0.0
 
     def _look(self, now: float) -> None:
-        if now - self.beat > BEAT_S + WOKEN_S:
+        if now - self.beat > HEARTBEAT_S + STALL_THRESHOLD_S:
             self.begin, self.end, self.beat = self.beat, now, now
--- a/otterquay/agent/keeper.py
+++ b/otterquay/agent/state_store.py
@@ -33,12 +33,12 @@
 LIST, STAGE, TRIED, ANSWERED, VOTES = "list", "stage", "tried", "answered", "votes"
 _TRIED = struct.Struct(">QIH")  # end of the bin in store time, build, class
 VOTES_KEPT_S = 7 * 86400.0
-KEYS_MOST = 2**18
+MAX_ANSWERED_KEYS = 2**18
 CLEARED_AT_ONCE = 1024
 EVERY_KEY = (0).to_bytes(8)
 
 
-class Keeper:
+class AgentStateStore:
     """Writes an agent's state down; `window_ms` is the exposure window. Nothing here waits for the disk."""
 
     def __init__(self, store: Store, window_ms: float, log: Logger) -> None:
@@ -134,7 +134,7 @@
         at = key.to_bytes(8)
         if build < self._build or build <= self._every or int(self._store.get(ANSWERED, at) or b"0") >= build:
             return
-        if not capped and self._store.tables().get(ANSWERED, 0) >= KEYS_MOST:
+        if not capped and self._store.tables().get(ANSWERED, 0) >= MAX_ANSWERED_KEYS:
             at, self._every = EVERY_KEY, build
         self._store.submit([Put(ANSWERED, at, b"%d" % build)])
         if at == EVERY_KEY:  # after it, so that no key is free for a moment
--- a/otterquay/agent/streams.py
+++ b/otterquay/agent/streams.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-from otterquay.agent.reconnect import BREAKS, Reconnect
+from otterquay.agent.reconnect import CONNECTION_ERRORS, Reconnect
 from otterquay.logs import Logger
 from otterquay.protocol.http import ProtocolError, ResponseParser, write_request
 from otterquay.protocol.sse import SseError, SseEvent, SseParser
@@ -46,7 +46,7 @@
             self.rng,
             self.least_s,
             self.most_s,
-            (*BREAKS, SseError),
+            (*CONNECTION_ERRORS, SseError),
         ).run()
 
     async def _once(self) -> str:
--- a/otterquay/agent/write_stall.py
+++ b/otterquay/agent/write_stall.py
@@ -13,7 +13,7 @@
     taken_off: int = -1  # bytes that the client had taken off us at the last look that saw it take some
     since: float | None = None
 
-    def stuck(self, unsent: int, now: float) -> float:
+    def stalled_s(self, unsent: int, now: float) -> float:
         """A look, with the bytes not yet sent: for how long the client has taken none; below 0 if it does."""
         if not unsent or self.written - unsent != self.taken_off:
             self.taken_off, self.since = self.written - unsent, None
--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -23,7 +23,7 @@
 from websockets.uri import parse_uri
 
 from otterquay.addresses import split_address
-from otterquay.agent.ports import Ask, Asker, Final
+from otterquay.agent.ports import ClientRequest, FinalAnswer, Requester
 from otterquay.chat import hub as hb
 from otterquay.chat import messages as ms
 from otterquay.chat.ledger import Ledger
@@ -119,7 +119,7 @@
         self.number: int | None = None
         self._ref, self._tell = ref, tell
 
-    def final(self, answer: Final) -> None:
+    def final(self, answer: FinalAnswer) -> None:
         """The one final answer."""
         self.number = None
         text = answer.body.decode("utf-8", "replace").strip()
@@ -132,7 +132,7 @@
     def settled(self) -> None:
         """Nothing waits behind it."""
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """A session outlives its sockets."""
         return False
 
@@ -146,7 +146,7 @@
         key: bytes,
         rng: random.Random,
         log: Logger,
-        take: Callable[[Ask, Asker], bool],
+        take: Callable[[ClientRequest, Requester], bool],
         ask: Callable[[str], str],
         store: Store | None = None,
     ) -> None:
@@ -252,7 +252,7 @@
             headers[b"idempotency-key"] = key
         http = HttpRequest(b"POST", submit.target.encode(), headers, submit.body, True)
         tenant = self._tenants.get(submit.tenant, 0)
-        ask = Ask(http, cls, tenant, key, self._deadlines[cls], None, False)
+        ask = ClientRequest(http, cls, tenant, key, self._deadlines[cls], None, False)
         if not self._take(ask, Player(submit.ref, self.feed)):
             self.feed(hb.Finished(submit.ref, "refused", "nothing more is taken", 1000.0))
 
--- a/otterquay/cli/root.py
+++ b/otterquay/cli/root.py
@@ -13,7 +13,7 @@
 import click
 import uvloop
 
-from otterquay.agent.web import WebAgent
+from otterquay.agent.http_agent import HttpAgent
 from otterquay.cli.chat import chat
 from otterquay.cli.cluster import cluster
 from otterquay.cli.lab import demo, lab
@@ -165,7 +165,7 @@
             except (Damaged, OSError) as error:  # traffic is worth more than what was kept; `store repair` saves it
                 log.error("store_not_taken", folder=service.agent.store, reason=str(error))
         try:
-            runtime = WebAgent(service, rng, log, key, store, chat_key=chat_key)
+            runtime = HttpAgent(service, rng, log, key, store, chat_key=chat_key)
             if service.group:
                 from otterquay.fleet.build import attach  # numpy and the rest only where they are asked for
 
@@ -177,7 +177,7 @@
             if store:
                 await store.close()
 
-    async def serve(runtime: WebAgent) -> None:
+    async def serve(runtime: HttpAgent) -> None:
         ended = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, ended.set)
--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -5,7 +5,7 @@
 import random
 from pathlib import Path
 
-from otterquay.agent.web import WebAgent
+from otterquay.agent.http_agent import HttpAgent
 from otterquay.config.schema import Service
 from otterquay.duties.lease import Terms
 from otterquay.fleet.plan import Pace, Plan
@@ -57,7 +57,7 @@
     return key
 
 
-def attach(agent: WebAgent, store: Store, rng: random.Random, log: Logger) -> FleetWork:
+def attach(agent: HttpAgent, store: Store, rng: random.Random, log: Logger) -> FleetWork:
     """Give an agent its part in the fleet's work. OSError, ValueError: the key cannot be read."""
     service = agent.service
     group, capacity = service.group, service.capacity
@@ -74,6 +74,6 @@
         rng,
         log,
     )
-    work.again = agent.tell_again
+    work.again = agent.repost_stage
     agent.ports.fleet = work
     return work
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -90,7 +90,7 @@
             task.cancel()
         self.transport.close()
 
-    def tightened(self, news: it.StageNews) -> it.StageNews:
+    def restrict_stage(self, news: it.StageNews) -> it.StageNews:
         """The desk's news with what the group or the site's coordinator has lowered."""
         return replace(news, cap=min(news.cap, self._caps.get(news.build, 1.0)))
 
@@ -99,11 +99,11 @@
         if self.node and not self.node.broken:
             self._step(self.node.voted(self._now(), vote.build, vote.verdict is it.Verdict.BACK))
 
-    def sent(self, server: int) -> None:
+    def attempt_sent(self, server: int) -> None:
         """An attempt goes out."""
         self._open[server] = self._open.get(server, 0) + 1
 
-    def ran(self, entry: news.Entry, cls: int, end: it.Status, latency_ms: float, trial: bool) -> None:
+    def attempt_ended(self, entry: news.Entry, cls: int, end: it.Status, latency_ms: float, trial: bool) -> None:
         """An attempt has ended: evidence of how long its class runs on that kind of server."""
         left = self._open.get(entry.server, 1) - 1
         if left > 0:
--- a/otterquay/lab/hosts.py
+++ b/otterquay/lab/hosts.py
@@ -13,8 +13,8 @@
 from typing import Protocol
 
 from otterquay import interface as it
-from otterquay.agent.runtime import Decider
-from otterquay.agent.web import WebAgent
+from otterquay.agent.http_agent import HttpAgent
+from otterquay.agent.runtime import DecisionModule
 from otterquay.config.schema import Peers, Service
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
@@ -68,9 +68,9 @@
     service: Service
     place: Place
     key: bytes
-    decider: Callable[[it.Settings, int], Decider] = Agent
+    decider: Callable[[it.Settings, int], DecisionModule] = Agent
     disk: FaultDisk = field(default_factory=lambda: FaultDisk(sector=4096))
-    runtime: WebAgent | None = None
+    runtime: HttpAgent | None = None
     starts: int = 0
 
     async def start(self) -> str:
@@ -79,7 +79,7 @@
         rng = random.Random(self.place.seed * 1000 + self.starts)
         self.disk = self.disk.killed()
         store = await open_store(self.disk, silent(), asyncio.get_running_loop().time)
-        self.runtime = WebAgent(
+        self.runtime = HttpAgent(
             placed(self.service, self.place),
             rng,
             silent(),
--- a/otterquay/node/agent.py
+++ b/otterquay/node/agent.py
@@ -8,10 +8,10 @@
 from dataclasses import fields
 
 from otterquay import interface as it
-from otterquay.agent.back import Pool
-from otterquay.agent.lifecycle import DRAIN_LOOK_S
+from otterquay.agent.connection_pool import Pool
+from otterquay.agent.lifecycle import DRAIN_POLL_S
 from otterquay.agent.ports import Ports
-from otterquay.agent.runtime import Decider, Runtime
+from otterquay.agent.runtime import DecisionModule, Runtime
 from otterquay.logs import Logger
 from otterquay.node.config import NodeConfig
 from otterquay.node.discovery import PolledList
@@ -49,7 +49,7 @@
         rng: random.Random,
         wall: Callable[[], float],
         log: Logger,
-        decider: Callable[[it.Settings, int], Decider] = Agent,
+        decider: Callable[[it.Settings, int], DecisionModule] = Agent,
     ) -> None:
         settings, free = config.settings, config.sockets - KEPT_BACK
         clients = int(free * CLIENTS_PART)
@@ -102,9 +102,9 @@
         """A planned end, over before SIGKILL may come: all is taken for a moment, then what is held is answered."""
         left = end_within_s(self.settings)
         self.drain_until = self._now() + left
-        self.log.info("agent_leaving", held=len(self.held), within_s=left)
+        self.log.info("agent_leaving", held=len(self.open_requests), within_s=left)
         await asyncio.sleep(LINGER_S)
         await self.stop(left - LINGER_S)
-        await asyncio.sleep(DRAIN_LOOK_S)  # for the closes themselves
+        await asyncio.sleep(DRAIN_POLL_S)  # for the closes themselves
         if self.front.clients:
             self.log.warning("left_with_connections_open", open=len(self.front.clients))
--- a/otterquay/node/asks.py
+++ b/otterquay/node/asks.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from otterquay import interface as it
-from otterquay.agent.ports import Ask
+from otterquay.agent.ports import ClientRequest
 from otterquay.protocol.http import ProtocolError
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
@@ -30,7 +30,7 @@
             settings,
         )
 
-    def read(self, words: list[bytes]) -> Ask:
+    def read(self, words: list[bytes]) -> ClientRequest:
         """The ask in a command; ProtocolError names what is at fault and what it may be."""
         safe = words[0] == QUERY
         if len(words) != (4 if safe else 5):
@@ -58,4 +58,4 @@
         if effect is it.Effect.KEYED and b"k" not in options:
             raise ProtocolError(400, "k: wanted in this class")
         budget = min(float(options[b"d"]), self.settings.classes[cls].deadline_ms)
-        return Ask(words, cls, tenant, words[1], budget, None, options.get(b"r") == b"1")
+        return ClientRequest(words, cls, tenant, words[1], budget, None, options.get(b"r") == b"1")
--- a/otterquay/node/client.py
+++ b/otterquay/node/client.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, cast
 
-from otterquay.agent.ports import Final
-from otterquay.agent.sockets import peer_closed, unread
+from otterquay.agent.ports import FinalAnswer
+from otterquay.agent.sockets import has_unread_data, peer_closed
 from otterquay.agent.write_stall import WriteStall
 from otterquay.node.asks import QUERY, SUBMIT
 from otterquay.protocol import resp
@@ -47,7 +47,7 @@
         self.client, self.id, self.answer = client, id, answer
         self.number: int | None = None
 
-    def final(self, answer: Final) -> None:
+    def final(self, answer: FinalAnswer) -> None:
         """Write the final answer, after those before it."""
         if answer.kind == "served":
             self.end(resp.bulk(answer.body))
@@ -69,7 +69,7 @@
     def settled(self) -> None:
         """The next may go at any time."""
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """Whether the client's close lies unread at the socket."""
         return peer_closed(self.client.transport)
 
@@ -177,7 +177,7 @@
         except ProtocolError as error:
             front.log.info("request_refused", reason=error.reason)
             return self._say(resp.error(f"ERR {error.reason}"))
-        waited = front.standstill.waited(front.now()) * 1e3
+        waited = front.standstill.max_wait_s(front.now()) * 1e3
         if waited > 1.0:  # the client's time ran on
             ask = replace(ask, budget_ms=max(ask.budget_ms - waited, 0.0))
         slot = Slot(self, words[2])
@@ -212,7 +212,10 @@
     def idle(self) -> bool:
         """Whether nothing is owed here, nothing has begun to come and nothing lies unread."""
         return (
-            self.state is State.OPEN and not self.slots and not self.parser.started and not unread(self.transport)
+            self.state is State.OPEN
+            and not self.slots
+            and not self.parser.started
+            and not has_unread_data(self.transport)
         )
 
     def close(self) -> None:
@@ -238,7 +241,7 @@
     def swept(self, now: float) -> None:
         """A look at its patience: it may say nothing, never finish a command, or never read."""
         unsent = self.transport.get_write_buffer_size()
-        if self.write_stall.stuck(unsent, now) >= STUCK_S:
+        if self.write_stall.stalled_s(unsent, now) >= STUCK_S:
             self.front.log.info("client_ended", reason="does not read", unsent=unsent)
             self.transport.abort()
         elif self.state is State.CLOSED:
@@ -247,7 +250,7 @@
             if now - self.ending_since >= ENDING_S:
                 self.give_up()
         elif self.half_since is not None and (now - self.read_at >= HALF_S or now - self.half_since >= HALF_MOST_S):
-            if not unread(self.transport):
+            if not has_unread_data(self.transport):
                 self.doom("half a command")
         elif now - self.idle_since >= IDLE_S and self.idle():
             self.close()
--- a/otterquay/node/discovery.py
+++ b/otterquay/node/discovery.py
@@ -8,7 +8,7 @@
 
 from otterquay import interface as it
 from otterquay.addresses import split_address
-from otterquay.agent.feeds import FleetBook
+from otterquay.agent.feeds import FleetRegistry
 from otterquay.agent.reconnect import Reconnect
 from otterquay.agent.runtime import Runtime
 from otterquay.logs import Logger
@@ -38,7 +38,7 @@
         log: Logger,
     ) -> None:
         self._address, self._runtime, self._rng, self._wall, self._log = address, runtime, rng, wall, log
-        self.book, self._reader = FleetBook(zones), TargetReader(list(kinds))
+        self.book, self._reader = FleetRegistry(zones), TargetReader(list(kinds))
         self._task: asyncio.Task[None] | None = None
         self._generation, self._came = -1, False  # and whether this connection brought another
         self._patience_s = PATIENCE_S  # for a whole list
@@ -54,7 +54,7 @@
             _, fleet, refused = self._reader.read(data, self._wall() * 1e3)
         except ValueError as error:
             return self._log.warning("known_list_unreadable", reason=str(error))  # type: ignore[no-any-return]
-        event = self.book.take(it.ListKind.CACHED, fleet, now_ms)
+        event = self.book.apply(it.ListKind.CACHED, fleet, now_ms)
         self.book.log_refused(refused, self._log)
         return event
 
@@ -88,7 +88,7 @@
         ask = self._runtime.settings.discovery is it.Discovery.ASK
         if ask:
             self._task = None
-            self._runtime.listed(it.ServerList(it.ListKind.FAILED, 0, ()))
+            self._runtime.on_server_list(it.ServerList(it.ListKind.FAILED, 0, ()))
         return ask
 
     async def _converse(self) -> str:
@@ -147,6 +147,6 @@
         self._generation = fleet.version
         if whole or fleet.entries:
             kind = it.ListKind.FULL if whole else it.ListKind.DELTA
-            told = self.book.take(kind, fleet, asyncio.get_running_loop().time() * 1e3)
-            self._runtime.listed(told, self.book.ended)
+            told = self.book.apply(kind, fleet, asyncio.get_running_loop().time() * 1e3)
+            self._runtime.on_server_list(told, self.book.ended)
         self.book.log_refused(refused, self._log)
--- a/otterquay/node/front.py
+++ b/otterquay/node/front.py
@@ -11,8 +11,8 @@
 
 from otterquay import interface as it
 from otterquay.addresses import split_address
-from otterquay.agent.ports import Taker
-from otterquay.agent.standstill import BEAT_S, Standstill
+from otterquay.agent.ports import RequestHandler
+from otterquay.agent.stall_detector import HEARTBEAT_S, StallDetector
 from otterquay.logs import Logger
 from otterquay.node.asks import AskReader
 from otterquay.node.client import Client
@@ -29,14 +29,14 @@
 
     listen: str
     settings: it.Settings
-    taker: Taker
+    taker: RequestHandler
     most: int
     roomy: int  # over so many, the idlest without a request ends: clients run out of connections before we do
     log: Logger
     clients: set[Client] = field(default_factory=set)
     ids: set[bytes] = field(default_factory=set)  # of open requests
     draining: bool = False
-    standstill: Standstill = field(default_factory=lambda: Standstill(0.0))
+    standstill: StallDetector = field(default_factory=lambda: StallDetector(0.0))
     reader: AskReader = field(init=False)
     _moved: float = 0.0  # when a connection came or went last
     _awake: float = 0.0
@@ -63,7 +63,7 @@
         """Listen; returns host and port bound. OSError when the address cannot be had."""
         self._loop = loop = asyncio.get_running_loop()
         host, port = split_address(self.listen)
-        self.standstill, self._swept = Standstill(loop.time()), loop.time()
+        self.standstill, self._swept = StallDetector(loop.time()), loop.time()
         self._server = await loop.create_server(lambda: Client(self), host, port, backlog=1024)
         self._beat()
         self._sweep()
@@ -133,8 +133,8 @@
 
     def _beat(self) -> None:
         assert self._loop
-        self.standstill.beaten(self.now())
-        self._beater = self._loop.call_later(BEAT_S, self._beat)
+        self.standstill.heartbeat(self.now())
+        self._beater = self._loop.call_later(HEARTBEAT_S, self._beat)
 
     def _sweep(self) -> None:
         """Look at every client's patience. One timer for all."""
--- a/otterquay/node/lines.py
+++ b/otterquay/node/lines.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from otterquay.agent.sockets import takes
+from otterquay.agent.sockets import is_writable
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 LINES_MOST = 100  # a second, and as many errors; what is over is counted and the count written
@@ -74,7 +74,7 @@
             short = {"at": line["at"], "level": line["level"], "event": line["event"], "bytes_left_out": len(data)}
             data = msgspec.json.encode(short)
         try:
-            if self._fd is not None and not takes(self._fd):
+            if self._fd is not None and not is_writable(self._fd):
                 return False
             self._stream.write(data.decode() + "\n")
             self._stream.flush()
--- a/otterquay/node/platform.py
+++ b/otterquay/node/platform.py
@@ -10,7 +10,7 @@
 from otterquay import interface as it
 from otterquay.addresses import split_address
 from otterquay.agent.feeds import counts_against_cap, standing
-from otterquay.agent.reconnect import BREAKS, Reconnect
+from otterquay.agent.reconnect import CONNECTION_ERRORS, Reconnect
 from otterquay.agent.runtime import Runtime
 from otterquay.logs import Logger
 from otterquay.protocol import platform as words
@@ -100,7 +100,7 @@
             "platform_fault",
             self._rng,
             *BACKOFF_S,
-            (*BREAKS, RuntimeError),
+            (*CONNECTION_ERRORS, RuntimeError),
         ).run()
 
     def _broken(self, reason: str, failures: int) -> bool:
@@ -146,7 +146,7 @@
             self._held, self._at = line.state, asyncio.get_running_loop().time() * 1e3
         if isinstance(line, words.Told):
             if line.state:
-                self._runtime.told(self._news(False, it.Status.OK))
+                self._runtime.on_news(self._news(False, it.Status.OK))
             return
         if not self._calls:
             raise words.Noise("an answer that nobody asked for")
--- a/otterquay/node/speech.py
+++ b/otterquay/node/speech.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from otterquay.agent.outcomes import End
-from otterquay.agent.ports import Ask, Final
+from otterquay.agent.ports import ClientRequest, FinalAnswer
 from otterquay.protocol import resp
 
 
@@ -26,7 +26,7 @@
         """By which an attempt is known here; appliances are not told it."""
         return b"%d-%d" % (request, attempt)
 
-    def attempt(self, ask: Ask, tag: bytes, address: str, left_ms: float) -> bytes:
+    def attempt(self, ask: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
         """The client's own command; only `d` tells how long we will wait."""
         words: list[bytes] = ask.message
         left = b"d=%d" % max(1, math.ceil(left_ms))
@@ -53,6 +53,6 @@
             report = answer.value.rpartition(b" ")[2]
         return resp.load_report(report, self._names)
 
-    def final(self, answer: resp.Answer) -> Final:
+    def final(self, answer: resp.Answer) -> FinalAnswer:
         """The value, which is what the client gets."""
-        return Final("served", body=answer.value)
+        return FinalAnswer("served", body=answer.value)
--- a/tests/crossings/forcing.py
+++ b/tests/crossings/forcing.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from otterquay.agent.back import Pool
+from otterquay.agent.connection_pool import Pool
 from otterquay.agent.exchange import Call
 from otterquay.agent.outcomes import End
 from otterquay.logs import silent
--- a/tests/crossings/test_appliances.py
+++ b/tests/crossings/test_appliances.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from otterquay.agent.back import REST_MOST_S
+from otterquay.agent.connection_pool import MAX_REST_S
 from otterquay.agent.outcomes import End
-from otterquay.agent.sockets import unread
+from otterquay.agent.sockets import has_unread_data
 from tests.crossings.forcing import LOOPS, Calls, Plain, arrived, run, until
 from tests.noderig import served
 
@@ -27,7 +27,7 @@
             conn.sendall(served(b"second")[: 10 if what.startswith("half") else None])
         else:
             conn.close()
-        arrived(lambda: unread(idle.writer.transport))
+        arrived(lambda: has_unread_data(idle.writer.transport))
         calls.call(plain.address)  # in the same turn: nothing of it has been read
         other = await plain.accept()
         await asyncio.get_running_loop().sock_recv(other, 100)
@@ -46,14 +46,14 @@
         calls, plain = Calls(), Plain()
         calls.pool.rest_s = 0.01
         # Powers of two: taken from a clock's reading and back again, they lose nothing to rounding.
-        for late_s, rest_s in ((2**-9, 0.01), (2**-8, 2**-6), (3 * 2**-10, 2**-6), (64.0, REST_MOST_S)):
+        for late_s, rest_s in ((2**-9, 0.01), (2**-8, 2**-6), (3 * 2**-10, 2**-6), (64.0, MAX_REST_S)):
             calls.ends.clear()
             conn = await calls.answered(plain)
             (idle,) = calls.pool.open
             idle.idle_since = asyncio.get_running_loop().time() - late_s
             conn.sendall(served(b"second"))
             await until(lambda idle=idle: idle.closed)  # type: ignore[misc]
-            assert rest_s <= calls.pool.rest_s <= max(2 * rest_s, REST_MOST_S)
+            assert rest_s <= calls.pool.rest_s <= max(2 * rest_s, MAX_REST_S)
         calls.call(plain.address)
         other = await plain.accept()
         await asyncio.get_running_loop().sock_recv(other, 100)
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -88,7 +88,7 @@
                 gate.open.set()
                 said = await answer(reader)
             assert len(rig.appliances[0].got) == begins and (said == b"for one") is bool(begins)
-            assert len(rig.seen(it.Outcome)) == decided and not rig.node.held
+            assert len(rig.seen(it.Outcome)) == decided and not rig.node.open_requests
 
     run(work)
 
@@ -106,7 +106,7 @@
                 arrived(lambda: peer_closed(client.transport))
                 assert call.begin() is None, "asked in the turn before the close is read"
                 gate.open.set()
-                await rig.until(lambda: not rig.node.held and not rig.node.pool.connecting)
+                await rig.until(lambda: not rig.node.open_requests and not rig.node.pool.connecting)
             assert not rig.appliances[0].got and len(rig.seen(it.Abandoned)) == 1
 
     run(work)
@@ -117,7 +117,7 @@
         async with Rig(count=1, limits=LATE) as rig:
             with Gate(rig) as gate:
                 reader, _, _ = await attempt_connecting(rig, gate)
-                (held,) = rig.node.held.values()
+                (held,) = rig.node.open_requests.values()
                 loop = asyncio.get_running_loop()
                 until_s, waited = held.deadline_s, loop.time() + 0.2
                 await rig.until(lambda: loop.time() > waited)
--- a/tests/crossings/test_clients.py
+++ b/tests/crossings/test_clients.py
@@ -30,7 +30,7 @@
             writer.close()
             await rig.until(lambda: rig.seen(it.Outcome) and not rig.node.pool.connecting)  # it ends a turn later
             assert [e.status for e in rig.seen(it.Outcome)] == [it.Status.MOOT] and len(rig.seen(it.Abandoned)) == 1
-            assert not rig.node.held and not rig.node.pool.open
+            assert not rig.node.open_requests and not rig.node.pool.open
             filler.close()
             full.close()
 
@@ -53,7 +53,7 @@
             await rig.until(lambda: rig.seen(it.Abandoned))
             assert [e.status for e in rig.seen(it.Outcome)][before:] == [it.Status.FULL, it.Status.MOOT]
             await asyncio.sleep(0.05)
-            assert sum(len(one.got) for one in rig.appliances) == before + 1 and not rig.node.held
+            assert sum(len(one.got) for one in rig.appliances) == before + 1 and not rig.node.open_requests
 
     run(work)
 
@@ -122,11 +122,13 @@
             rig.appliances[0].behave = quiet
             doomed[1].write(rig.ask(id="owed") + b"noise\r\n")
             await rig.until(
-                lambda: len(front.clients) == 3 and rig.node.held and any(c.parser.started for c in front.clients)
+                lambda: len(front.clients) == 3
+                and rig.node.open_requests
+                and any(c.parser.started for c in front.clients)
             )
             with at(front, front.now() + 60.0):
                 front._sweep()  # the first timer after it, before any socket is read
-            assert len(front.clients) == 3 and rig.node.held, "nobody's time has run out"
+            assert len(front.clients) == 3 and rig.node.open_requests, "nobody's time has run out"
             rig.appliances[0].behave = lambda _, w, words: w.write(served(b"for " + words[2]))
             half[1].write(whole[30:])
             idle[1].write(rig.ask(id="idle"))
--- a/tests/crossings/test_drain.py
+++ b/tests/crossings/test_drain.py
@@ -9,8 +9,8 @@
 import pytest
 
 from otterquay import interface as it
-from otterquay.agent.lifecycle import DRAIN_LOOK_S, Phase
-from otterquay.agent.sockets import unread
+from otterquay.agent.lifecycle import DRAIN_POLL_S, Phase
+from otterquay.agent.sockets import has_unread_data
 from otterquay.node.agent import FLUSH_S, LINGER_S, end_within_s
 from otterquay.node.client import State
 from otterquay.node.front import SETTLED_S
@@ -37,7 +37,7 @@
             writer.write(b"*1\r\n$4\r\nPING\r\n" + rig.ask(id="a") + b"*1\r\n$3\r\nWHO\r\n" + rig.ask(id="b"))
             got = [await answer(reader) for _ in range(4)]
             assert got == [b"+PONG", b"for a", b"-ERR unknown command 'WHO'", b"for b"]
-            assert await answer(reader) == b"" and not rig.node.held
+            assert await answer(reader) == b"" and not rig.node.open_requests
 
     run(work)
 
@@ -86,7 +86,7 @@
             await rig.node.stop(0.0)
             for reader, _ in asked:
                 assert [await answer(reader), await answer(reader)] == [b"-ERR the agent ends", b""]
-            assert not rig.node.held and not rig.node.front.ids and not rig.node.pool.open
+            assert not rig.node.open_requests and not rig.node.front.ids and not rig.node.pool.open
             assert rig.node.counts["failed"] == 3 and len(rig.seen(it.Abandoned)) == 3
             assert {e.status for e in rig.seen(it.Outcome)} == {it.Status.CANCELLED}
             assert sum(len(one.got) for one in rig.appliances) == 3, "closing begins no attempt"
@@ -121,7 +121,7 @@
         ]
         async with Rig(count=0, requestClasses=classes) as rig:
             kill_s = min(max(deadlines) / 1e3, 3.0) + 0.7  # the protocol page
-            assert end_within_s(rig.node.settings) + FLUSH_S + 2 * DRAIN_LOOK_S <= kill_s, "and time to close"
+            assert end_within_s(rig.node.settings) + FLUSH_S + 2 * DRAIN_POLL_S <= kill_s, "and time to close"
             assert end_within_s(rig.node.settings) >= LINGER_S + min(max(deadlines) / 1e3, 3.0)
 
     run(work)
@@ -193,7 +193,7 @@
             client = next(iter(rig.node.front.clients))
             client.idle_since -= SETTLED_S
             plain.sendall(rig.ask(id="crosses"))
-            arrived(lambda: unread(client.transport))
+            arrived(lambda: has_unread_data(client.transport))
             rig.node.front.drain()  # before the loop has read it
             plain.setblocking(False)
             got = await asyncio.get_running_loop().sock_recv(plain, 100)
@@ -261,7 +261,7 @@
         async with Rig(count=1) as rig:
             held, reader, writer, leaving = await draining(rig)
             await rig.node.stop(0.0)  # returns at once and shortens nothing
-            assert rig.node.phase is Phase.DRAINING and rig.node.held
+            assert rig.node.phase is Phase.DRAINING and rig.node.open_requests
             held[0][0].write(served(b"for one"))
             assert await answer(reader) == b"for one"
             await leaving
--- a/tests/crossings/test_drawn.py
+++ b/tests/crossings/test_drawn.py
@@ -16,10 +16,10 @@
 
 import pytest
 
-from otterquay.agent.back import Pool
+from otterquay.agent.connection_pool import Pool
 from otterquay.agent.exchange import Call, Connection
 from otterquay.agent.lifecycle import Phase
-from otterquay.agent.ports import Ask, Asker
+from otterquay.agent.ports import ClientRequest, Requester
 from otterquay.policy.agent import Agent
 from tests.crossings.audit import Audit
 from tests.crossings.forcing import run
@@ -222,7 +222,7 @@
     """No request is written for a client that has gone, nor by an agent that has closed; returns the ids taken."""
     write, take, taken = Pool._write, rig.node.take, set[bytes]()
 
-    def noted(ask: Ask, client: Asker) -> bool:
+    def noted(ask: ClientRequest, client: Requester) -> bool:
         taken.add(ask.message[2])
         return take(ask, client)
 
@@ -230,7 +230,7 @@
         node = rig.node
         if self is node.pool and not call.tag.startswith(b"probe"):
             number = int(call.tag.split(b"-")[0])
-            if number not in node.held or node.held[number].client is None:
+            if number not in node.open_requests or node.open_requests[number].client is None:
                 broken.append(f"request {number} began after its client had left")
             if node.phase is Phase.CLOSED:
                 broken.append(f"request {number} began in a closed agent")
@@ -266,7 +266,7 @@
             node: Any = drawn.rig.node
             assert not drawn.audit.broken, f"seed {seed}: {drawn.audit.broken}"
             assert not (found := broken(drawn.tape.judge())), f"seed {seed}: {found}"
-            assert not node.held and not node.front.ids and not node.front.clients, f"seed {seed}: held"
+            assert not node.open_requests and not node.front.ids and not node.front.clients, f"seed {seed}: held"
             assert not node.pool.open and not node.pool.connecting, f"seed {seed}: connections left"
             assert sum(drawn.audit.counts().values()) > 5, "something was sent"
         left = [
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from otterquay import interface as it
-from otterquay.agent.web import WebAgent
+from otterquay.agent.http_agent import HttpAgent
 from otterquay.config import Service, parse_service
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
@@ -123,7 +123,7 @@
         if self.disk is not None:
             self.disk = self.disk.killed()
             store = await open_store(self.disk, silent(), asyncio.get_running_loop().time)
-        self.runtime = WebAgent(
+        self.runtime = HttpAgent(
             self.config.model_copy(update={"agent": agent, "feeds": feeds}),
             random.Random(self.seed),
             silent(),
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -13,8 +13,8 @@
 from rig import Rig, kind, raw, right, run, service, silent_server
 
 from otterquay import interface as it
-from otterquay.agent.outcomes import TABLE, End
-from otterquay.agent.ports import Ask, Final
+from otterquay.agent.outcomes import END_MEANINGS, End
+from otterquay.agent.ports import ClientRequest, FinalAnswer
 from otterquay.lab.disk import FaultDisk
 from otterquay.policy.state import UNRUN
 from otterquay.protocol import news
@@ -103,8 +103,8 @@
 
 
 def test_the_table_says_of_no_written_request_that_it_never_ran_and_fits_the_module() -> None:
-    assert set(TABLE) == set(End) and all(row.reason for row in TABLE.values())
-    for row in TABLE.values():
+    assert set(END_MEANINGS) == set(End) and all(row.reason for row in END_MEANINGS.values())
+    for row in END_MEANINGS.values():
         assert row.never_ran == (row.status in UNRUN)
     unwritten = {
         End.TURNED_AWAY,
@@ -114,7 +114,7 @@
         End.CLOSED_UNSENT,
         End.NOT_STARTED,
     }
-    assert {end for end, row in TABLE.items() if row.never_ran} == unwritten
+    assert {end for end, row in END_MEANINGS.items() if row.never_ran} == unwritten
 
 
 def test_a_stale_connection_closed_under_a_written_request_proves_nothing() -> None:
@@ -140,12 +140,12 @@
                 await rig.until(lambda: any(rig.runtime.pool.idle.values()))
                 idle = next(iter(rig.runtime.pool.idle.values()))
                 idle[-1].writer.transport.abort()  # gone, and in the same turn a request wants it
-                ended: list[Final] = []
+                ended: list[FinalAnswer] = []
                 http = HttpRequest(b"POST", b"/x", {}, b"", True)
-                rig.runtime.take(Ask(http, 2, 0, b"", 900.0, None, False), Stub(ended))
+                rig.runtime.take(ClientRequest(http, 2, 0, b"", 900.0, None, False), Stub(ended))
                 await rig.until(lambda e=ended: e)
                 assert ended[0].kind == "served"
-            assert not rig.runtime.held
+            assert not rig.runtime.open_requests
 
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(work())
@@ -154,7 +154,7 @@
 class Stub:
     """An asker that keeps its answers."""
 
-    def __init__(self, answers: list[Final]) -> None:
+    def __init__(self, answers: list[FinalAnswer]) -> None:
         self.number: int | None = None
         self.final = answers.append
 
@@ -162,7 +162,7 @@
 
     def settled(self) -> None: ...
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         return False
 
 
@@ -190,14 +190,14 @@
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry"))
             await rig.until(lambda: rig.servers[0].got)
-            call = next(c for h in rig.runtime.held.values() for c in h.calls.values())
+            call = next(c for h in rig.runtime.open_requests.values() for c in h.calls.values())
             answer = write_response(200, [], b"right\n")
             parsed = type(call.connection.parser)().feed(answer)[0]
             rig.runtime.pool._end(call, End.ANSWER, parsed)
             rig.runtime.pool._overdue(call)
             rig.runtime.pool.cancel(call)
             assert kind((await rig.answers(reader))[0]) == "served"
-            assert outcomes(rig) == [it.Status.OK] and not rig.runtime.held
+            assert outcomes(rig) == [it.Status.OK] and not rig.runtime.open_requests
 
     run(work)
 
@@ -236,7 +236,7 @@
             await rig.until(lambda: rig.seen(it.Abandoned))
             await rig.until(lambda: rig.seen(it.Outcome))
             assert rig.seen(it.Outcome)[0].over and sum(len(s.got) for s in rig.servers) == 1
-            assert not rig.runtime.held
+            assert not rig.runtime.open_requests
 
     run(work)
 
@@ -448,7 +448,7 @@
             found = [(await rig.answers(reader))[0] for reader, _ in lines]
             assert len(found) == 30 and all(kind(a) in ("served", "refused", "failed") for a in found)
             assert sum(len(s.got) for s in rig.servers) <= 30
-            await rig.until(lambda: not rig.runtime.held)
+            await rig.until(lambda: not rig.runtime.open_requests)
 
     run(work)
 
@@ -585,7 +585,7 @@
             started = {e.server: e.started_ms for e in cached.entries}[1]
             assert now - started < 5000
             assert kind(await rig.get()) == "served"
-            store = rig.runtime._keeper._store
+            store = rig.runtime._state_store._store
             await store.commit([Put("list", b"\0" * 8, b"{ torn")])
             rig.runtime.close()
             await rig.up(rig.list.listener.address, rig.desk.listener.address)
@@ -636,12 +636,12 @@
 
             rig.disk.fail = full
             rig.change(msgspec.structs.replace(rig.entries[1], incarnation=9))
-            await rig.until(lambda: rig.runtime._keeper._store.failed)
+            await rig.until(lambda: rig.runtime._state_store._store.failed)
             assert kind(await rig.get()) == "served"
             rig.disk.fail = lambda *_: None
             rig.runtime.close()
             await rig.up(rig.list.listener.address, rig.desk.listener.address)
-            assert rig.runtime._keeper._store.failed is None and kind(await rig.get()) == "served"
+            assert rig.runtime._state_store._store.failed is None and kind(await rig.get()) == "served"
 
     run(work)
 
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -39,18 +39,18 @@
         super().__init__(servers, SERVICE.model_copy(update={"chat": SERVICE.chat.model_copy(update=self.changes)}))
 
     async def up(self, fleet: str, desk: str) -> None:
-        from otterquay.agent.web import WebAgent
+        from otterquay.agent.http_agent import HttpAgent
 
-        made = WebAgent.__init__
+        made = HttpAgent.__init__
 
-        def with_key(self: WebAgent, *args: Any, **kwargs: Any) -> None:
+        def with_key(self: HttpAgent, *args: Any, **kwargs: Any) -> None:
             made(self, *args, **{**kwargs, "chat_key": KEY})
 
-        WebAgent.__init__ = with_key  # type: ignore[method-assign]
+        HttpAgent.__init__ = with_key  # type: ignore[method-assign]
         try:
             await super().up(fleet, desk)
         finally:
-            WebAgent.__init__ = made  # type: ignore[method-assign]
+            HttpAgent.__init__ = made  # type: ignore[method-assign]
 
     @property
     def chat_at(self) -> str:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -21,8 +21,8 @@
 from test_votes import good, offered, play
 
 from otterquay import interface as it
-from otterquay.agent import feeds, keeper
-from otterquay.agent.feeds import DeskBook, FleetBook
+from otterquay.agent import feeds, state_store
+from otterquay.agent.feeds import DeskRecord, FleetRegistry
 from otterquay.chat import hub as hb
 from otterquay.chat import messages as ms
 from otterquay.chat.pace import Pace
@@ -258,22 +258,24 @@
 
 
 def test_the_list_holds_so_many_servers_and_refuses_the_rest_aloud(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feeds, "LISTED_MOST", 20)
-    book = FleetBook(["a"])
-    event = book.heard("l:1", news.FleetNews(1, [server(i) for i in range(30)]), 1.0)
+    monkeypatch.setattr(feeds, "MAX_LISTED_SERVERS", 20)
+    book = FleetRegistry(["a"])
+    event = book.apply_event("l:1", news.FleetNews(1, [server(i) for i in range(30)]), 1.0)
     assert event and len(event.entries) == len(book.entries) == 20
     assert len(book.refused) == 10 and "over 20 servers" in book.refused[0]
-    event = book.heard("l:2", news.FleetNews(2, [server(5, state="gone"), server(29), server(3, life=9)], 1), 2.0)
+    event = book.apply_event(
+        "l:2", news.FleetNews(2, [server(5, state="gone"), server(29), server(3, life=9)], 1), 2.0
+    )
     assert event and len(event.entries) == 3 and not book.refused
 
 
 def test_ids_and_addresses_that_change_for_days_leave_nothing_behind(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(feeds, "GONE_MOST", 30)
-    book = FleetBook(["a"])
-    book.heard("l:0", news.FleetNews(0, []), 0.0)
+    monkeypatch.setattr(feeds, "MAX_DEPARTED_SERVERS", 30)
+    book = FleetRegistry(["a"])
+    book.apply_event("l:0", news.FleetNews(0, []), 0.0)
     for i in range(1, 2001):
         news_now = [server(i), *([server(i - 10, state="gone")] if i > 10 else [])]
-        book.heard(f"l:{i}", news.FleetNews(i, news_now, i - 1), i * 6e4)
+        book.apply_event(f"l:{i}", news.FleetNews(i, news_now, i - 1), i * 6e4)
     assert len(book.entries) == len(book._lives) == 10 and len(book._gone) == 30
     assert book._gone.keys() == set(range(1961, 1991)), "the oldest are given up"
 
@@ -298,9 +300,9 @@
 )
 def test_stage_news_that_cannot_be_is_refused_and_the_agent_goes_on_judging(change: dict[str, Any]) -> None:
     """A stage beyond the settings, or a build over 65535, ended the module's timer: it never judged again."""
-    book = DeskBook(["read"], 2)
+    book = DeskRecord(["read"], 2)
     with pytest.raises(ValueError):
-        book.heard("d:1", "stage", msgspec.json.encode(STAGE | change), 0.0)
+        book.apply_event("d:1", "stage", msgspec.json.encode(STAGE | change), 0.0)
     assert book.standing() == "no news of any build"
 
     async def work() -> None:
@@ -330,10 +332,10 @@
 )
 def test_tallies_that_cannot_be_are_refused(tally: dict[str, Any]) -> None:
     whole = {"build": 2, "class": "read", "attempts": 10, "failures": 1, "mean_ms": 5.0, "age_ms": 1.0}
-    book = DeskBook(["read"], 2)
-    assert book.heard("d:1", "tally", msgspec.json.encode(whole), 0.0)
+    book = DeskRecord(["read"], 2)
+    assert book.apply_event("d:1", "tally", msgspec.json.encode(whole), 0.0)
     with pytest.raises(ValueError):
-        book.heard("d:2", "tally", msgspec.json.encode(whole | tally), 0.0)
+        book.apply_event("d:2", "tally", msgspec.json.encode(whole | tally), 0.0)
 
 
 ENTRY = {"server": 7, "zone": "north", "state": "ready", "build": 1, "address": "127.0.0.1:1", "incarnation": 1}
@@ -377,18 +379,20 @@
 @pytest.mark.parametrize("odd", [{"address": ""}, {"zone": "elsewhere"}])
 def test_a_server_that_leaves_is_told_whatever_else_its_entry_says(state: str, odd: dict[str, str]) -> None:
     """Refused, it would have gone on being sent to."""
-    book = FleetBook(["a"])
-    book.heard("l:1", news.FleetNews(1, [server(7)]), 1.0)
-    event = book.heard("l:2", news.FleetNews(2, [msgspec.structs.replace(server(7, state=state), **odd)], 1), 2.0)
+    book = FleetRegistry(["a"])
+    book.apply_event("l:1", news.FleetNews(1, [server(7)]), 1.0)
+    event = book.apply_event(
+        "l:2", news.FleetNews(2, [msgspec.structs.replace(server(7, state=state), **odd)], 1), 2.0
+    )
     assert event and [e.state for e in event.entries] == [feeds.STATES[state]] and not book.refused
 
 
 def test_an_age_below_zero_counts_as_none_and_hides_neither_server_nor_cap() -> None:
     """A source whose clock was set back; to refuse its words would leave a lowered cap unheard."""
-    book, desk = FleetBook(["a"]), DeskBook(["read"], 2)
-    event = book.heard("l:1", news.FleetNews(1, [server(7, age_ms=-5e3)]), 1e6)
+    book, desk = FleetRegistry(["a"]), DeskRecord(["read"], 2)
+    event = book.apply_event("l:1", news.FleetNews(1, [server(7, age_ms=-5e3)]), 1e6)
     assert event and event.entries[0].started_ms == 1e6
-    told = desk.heard("d:1", "stage", msgspec.json.encode(STAGE | {"age_ms": -5e3, "cap": 0.0}), 0.0)
+    told = desk.apply_event("d:1", "stage", msgspec.json.encode(STAGE | {"age_ms": -5e3, "cap": 0.0}), 0.0)
     assert isinstance(told, it.StageNews) and (told.cap, told.age_ms) == (0.0, 0.0)
 
 
@@ -492,18 +496,18 @@
     async def work() -> None:
         async with Rig(servers=1, decider=SendsNowhere) as rig:
             assert kind(await rig.get()) == "failed"
-            assert len(rig.seen(it.Outcome)) == 40 and not rig.runtime._queue and not rig.runtime.held
+            assert len(rig.seen(it.Outcome)) == 40 and not rig.runtime._queue and not rig.runtime.open_requests
 
     run(work)
 
 
 def test_the_store_keeps_so_many_keys_and_then_one_for_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(keeper, "KEYS_MOST", 10)
+    monkeypatch.setattr(state_store, "MAX_ANSWERED_KEYS", 10)
 
     async def work() -> None:
         disk = FaultDisk()
         store = await open_store(disk, silent(), asyncio.get_running_loop().time)
-        kept = keeper.Keeper(store, 4000.0, silent())
+        kept = state_store.AgentStateStore(store, 4000.0, silent())
 
         def stage(phase: it.Phase, build: int = 2) -> None:
             kept.stage(it.StageNews(build, 0, phase, False, it.Status.OK, 1.0, 0.0))
@@ -521,7 +525,7 @@
             kept.answered(key, 2, False)
             await settle()
         assert [(int.from_bytes(k), int(v)) for k, v in store.scan("answered")] == [(0, 2)]
-        again = keeper.Keeper(store, 4000.0, silent())
+        again = state_store.AgentStateStore(store, 4000.0, silent())
         _, events = again.recall(1e6)
         drive = Drive(settings(rollout={"one_way": True}), servers=0)
         for event in events:
@@ -542,7 +546,7 @@
 
     async def work() -> None:
         async with Rig(servers=1, config=service(rollout={"one_way": True}), disk=FaultDisk()) as rig:
-            kept = rig.runtime._keeper
+            kept = rig.runtime._state_store
             rig.stage(2, "trial", 0.2)
             await rig.until(lambda: kept._build == 2)
             for key in range(1, 3001):
@@ -566,7 +570,7 @@
             clock[0] += HALF_DAY / 1e3
             disk = disk.killed()
             store = await open_store(disk, silent(), lambda: clock[0])
-            kept = keeper.Keeper(store, 4000.0, silent())
+            kept = state_store.AgentStateStore(store, 4000.0, silent())
             fleet, events = kept.recall(clock[0] * 1e3)
             if build > 2:
                 assert fleet and {e.build for e in fleet.entries} == {build - 1}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -34,7 +34,11 @@
             assert got[b"id-queue-join"][1::3] == [b"id-queue-join" * 2, b"the body\r\n\0"]
             options = got[b"id-race-entry"][3].split(b",")
             assert options[:2] == [b"c=race-entry", b"t=first"] and 0 < int(options[2][2:]) <= 2000
-            assert values(rig) == [(it.Status.OK, (1.0,))] * 3 and not rig.node.held and not rig.node.front.ids
+            assert (
+                values(rig) == [(it.Status.OK, (1.0,))] * 3
+                and not rig.node.open_requests
+                and not rig.node.front.ids
+            )
 
     run(work)
 
@@ -149,7 +153,7 @@
             await rig.until(lambda: rig.node.front.most >= len(rig.node.front.clients) > 1)
             await rig.until(lambda: len(rig.node.front.clients) == 1)
             assert [await answer(reader) for reader, _ in crowd] == [b""] * 60
-            assert rig.node.held and not rig.seen(it.Abandoned)
+            assert rig.node.open_requests and not rig.seen(it.Abandoned)
             del working
 
     run(work)
@@ -462,7 +466,7 @@
             rig.appliances[0].behave = quiet
             reader, writer = await rig.connect()
             writer.write(rig.ask(id="one"))
-            await rig.until(lambda: rig.node.held)
+            await rig.until(lambda: rig.node.open_requests)
             assert await rig.say(rig.ask(id="two")) == b"-BUSY" and len(rig.seen(it.Request)) == 1
             names = AskReader.of(rig.node.settings).classes
             assert list(names) == [b"lobby-read", b"queue-join", b"race-entry"]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
 from test_auditor import AllAreSafe, NeverCold, NeverDrains, NoCap, NoFinalAnswers
 
 from otterquay import interface as it
-from otterquay.agent.feeds import DeskBook, FleetBook
+from otterquay.agent.feeds import DeskRecord, FleetRegistry
 from otterquay.lab.disk import FaultDisk
 from otterquay.lab.simloop import simulate
 from otterquay.policy import agent as policy
@@ -48,8 +48,8 @@
     def begin(self, now: float) -> None:
         self.agent = self.make(self.config, self.seed)
         self.fleet, self.desk = (
-            FleetBook(ZONES),
-            DeskBook(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
+            FleetRegistry(ZONES),
+            DeskRecord(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
         )
         self.out: list[tuple[int, int, int, float, float]] = []  # request, leg, server, sent, until
         self.give(now, it.Started())
@@ -78,12 +78,12 @@
             self.entries.update({e.server: e for e in changed})
         whole = list(self.entries.values()) if base is None else list(changed)
         told = news.FleetNews(fresh, whole, before if base == -1 else base)
-        self.give(now, self.fleet.heard(f"l:{fresh}", told, now))
+        self.give(now, self.fleet.apply_event(f"l:{fresh}", told, now))
 
     def stage(self, now: float, build: int, stage: int, phase: str, cap: float) -> None:
         self.desk_number += 1
         told = news.Stage(build, stage, phase, cap, 0.0)  # type: ignore[arg-type]
-        self.give(now, self.desk.heard(f"d:{self.desk_number}", "stage", msgspec.json.encode(told), now))
+        self.give(now, self.desk.apply_event(f"d:{self.desk_number}", "stage", msgspec.json.encode(told), now))
 
 
 class Play:
@@ -389,8 +389,8 @@
         for _ in range(8):  # what is sent again goes on being failed; and time runs out
             await fail_held()
             await asyncio.sleep(0.5)
-        if rig.runtime.held:
-            faults.append(f"held at the end: {list(rig.runtime.held)}")
+        if rig.runtime.open_requests:
+            faults.append(f"held at the end: {list(rig.runtime.open_requests)}")
         for writer in rig.writers:
             writer.close()
         await asyncio.gather(*ends)
--- a/tests/test_replaced.py
+++ b/tests/test_replaced.py
@@ -12,9 +12,9 @@
 from rig import Rig, kind, right, run, service
 
 from otterquay import interface as it
-from otterquay.agent.back import Pool
-from otterquay.agent.feeds import FleetBook
-from otterquay.agent.web import HttpSpeech
+from otterquay.agent.connection_pool import Pool
+from otterquay.agent.feeds import FleetRegistry
+from otterquay.agent.http_agent import HttpApplianceProtocol
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
 from otterquay.protocol import news
@@ -122,8 +122,8 @@
 
 
 # --- the book of the list ---
-def told(book: FleetBook, version: int, now: float, *entries: news.Entry, base: int | None = -1) -> list[float]:
-    event = book.heard(
+def told(book: FleetRegistry, version: int, now: float, *entries: news.Entry, base: int | None = -1) -> list[float]:
+    event = book.apply_event(
         f"l:{version}", news.FleetNews(version, list(entries), version - 1 if base == -1 else base), now
     )
     assert event is not None
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize("left", [False, True])
 def test_one_that_took_the_place_of_another_is_never_long_there(whole: bool, left: bool) -> None:
     """The same build with no age told was taken for the same process, and for warm."""
-    book = FleetBook(["a"])
+    book = FleetRegistry(["a"])
     assert told(book, 1, 1e6, server(1), base=None) == [0.0]
     if left:
         told(book, 2, 2e6, *([] if whole else [server(1, state="gone")]), base=None if whole else -1)
@@ -152,17 +152,17 @@
 
 
 def test_a_life_has_one_start_however_and_how_often_it_is_told() -> None:
-    book = FleetBook(["a"])
+    book = FleetRegistry(["a"])
     assert told(book, 1, 1e6, server(1, 500.0), base=None) == [999500.0]
     assert told(book, 2, 2e6, server(1, 900000.0)) == [999500.0]
     assert told(book, 3, 2e6, server(1, state="gone")) == [999500.0]
     assert told(book, 4, 2e6, server(1, 5.0)) == [999500.0]
-    assert book.heard("l:2", news.FleetNews(2, [server(9, 1.0)], 1), 3e6) is None, "late and out of order"
+    assert book.apply_event("l:2", news.FleetNews(2, [server(9, 1.0)], 1), 3e6) is None, "late and out of order"
     assert told(book, 5, 3e6, server(1)) == [999500.0]
 
 
 def test_the_book_tells_whose_process_has_ended() -> None:
-    book = FleetBook(["a"])
+    book = FleetRegistry(["a"])
     told(book, 1, 0.0, server(1), base=None)
     assert book.ended == []
     told(book, 2, 0.0, server(1, state="draining"))
@@ -185,7 +185,7 @@
 
 
 def test_a_change_looks_at_the_servers_that_it_names_and_at_no_other() -> None:
-    book = FleetBook(["a"])
+    book = FleetRegistry(["a"])
     told(book, 1, 0.0, *(msgspec.structs.replace(server(1, port=n), server=n) for n in range(1, 50)), base=None)
     book.entries = Entries(book.entries)
     told(
@@ -233,7 +233,7 @@
     async def work() -> None:
         listener = Listener(right)
         await listener.start()
-        pool, ended = Pool(1.0, 10.0, HttpSpeech(0, ()), silent()), list[HttpResponse | None]()
+        pool, ended = Pool(1.0, 10.0, HttpApplianceProtocol(0, ()), silent()), list[HttpResponse | None]()
         payload = write_request(b"GET", b"/", [(b"host", b"x")])
         for _ in range(3):
             pool.call(
@@ -276,7 +276,7 @@
                 assert kind((await rig.answers(reader))[0]) == "served"
                 rig.change(now)
                 await rig.until(lambda lists=lists: len(rig.seen(it.ServerList)) > lists + 1)
-            kept = [int(value) for _, value in rig.runtime._keeper._store.scan("answered")]
+            kept = [int(value) for _, value in rig.runtime._state_store._store.scan("answered")]
             assert kept == [2, 2]
 
     run(work)
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -14,7 +14,7 @@
 import pytest
 from click.testing import CliRunner
 
-from otterquay.agent.standstill import Standstill
+from otterquay.agent.stall_detector import StallDetector
 from otterquay.cli import main
 from otterquay.lab import search
 from otterquay.lab.auditor import RULES
@@ -273,7 +273,7 @@
     played = play_simulated(day, service, seed)
     assert not played.result.report.broken and not played.faults, played.result.report.violations
     assert all(played.result.report.checked[rule] > 0 for rule in RULES if rule != "drains")
-    monkeypatch.setattr(Standstill, "waited", lambda self, now: 0.0)
+    monkeypatch.setattr(StallDetector, "waited", lambda self, now: 0.0)
     assert play_simulated(day, service, seed).result.report.violations["answered"]
 
 
@@ -298,7 +298,7 @@
 def test_a_failing_day_is_shrunk_and_its_text_plays_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Standstill, "waited", lambda self, now: 0.0)
+    monkeypatch.setattr(StallDetector, "waited", lambda self, now: 0.0)
     day, service = load_day(BAD_DAY)
     faults = [
         fault.model_copy(update={"at": 1500.0})
@@ -323,13 +323,13 @@
 
 
 def test_what_stands_still_counts_what_it_reads_from_before() -> None:
-    stand = Standstill(10.0)
+    stand = StallDetector(10.0)
     for i in range(1, 4):
-        stand.beaten(10.0 + 0.1 * i)
-    assert stand.waited(10.36) == 0.0
-    assert stand.waited(11.3) == pytest.approx(1.0)  # read in the first turn after it, before the beat
-    stand.beaten(11.3)
-    assert stand.waited(11.305) == pytest.approx(1.005) and stand.waited(11.4) == 0.0
+        stand.heartbeat(10.0 + 0.1 * i)
+    assert stand.max_wait_s(10.36) == 0.0
+    assert stand.max_wait_s(11.3) == pytest.approx(1.0)  # read in the first turn after it, before the beat
+    stand.heartbeat(11.3)
+    assert stand.max_wait_s(11.305) == pytest.approx(1.005) and stand.max_wait_s(11.4) == 0.0
 
 
 # three links slow at once: what was kept within the cap at the agent arrives closer together
