--- a/otterquay/agent/feeds.py
+++ b/otterquay/agent/feeds.py
@@ -78,8 +78,8 @@
         self._zones = {name: i for i, name in enumerate(zones)}
         self._epoch, self._version = "", -1
         # incarnation of a server and the start told for it: the listed, and the latest of those that left
-        self._lives: dict[int, tuple[int, float]] = {}
-        self._gone: OrderedDict[int, tuple[int, float]] = OrderedDict()
+        self._incarnations: dict[int, tuple[int, float]] = {}
+        self._departed: OrderedDict[int, tuple[int, float]] = OrderedDict()
         self.entries: dict[int, news.Entry] = {}
         self.refused: list[str] = []
         self.ended: list[str] = []
@@ -92,7 +92,7 @@
     def cached(self, fleet: news.FleetNews, now_ms: float) -> it.ServerList:
         """The list of before a restart: ages as they were written, which takes no server for warmer than it is."""
         event = self.apply(it.ListKind.CACHED, fleet, now_ms)
-        self._lives = {}
+        self._incarnations = {}
         return event
 
     def apply_event(self, id: str, fleet: news.FleetNews, now_ms: float) -> it.ServerList | None:
@@ -167,21 +167,21 @@
 
     def _left(self, server: int) -> None:
         self.entries.pop(server, None)
-        if life := self._lives.pop(server, None):
-            self._gone[server] = life
-            if len(self._gone) > MAX_DEPARTED_SERVERS:
-                self._gone.popitem(last=False)
+        if life := self._incarnations.pop(server, None):
+            self._departed[server] = life
+            if len(self._departed) > MAX_DEPARTED_SERVERS:
+                self._departed.popitem(last=False)
 
     def _start(self, entry: news.Entry, now_ms: float) -> float:
         """When this life of the server began, 0 for long ago: the same for one life, however late the news."""
-        life = self._lives.get(entry.server) or self._gone.pop(entry.server, None)
+        life = self._incarnations.get(entry.server) or self._departed.pop(entry.server, None)
         if life and life[0] == entry.incarnation:
             start = life[1]
         elif entry.age_ms is not None:
             start = max(now_ms - max(entry.age_ms, 0.0), 1e-3)
         else:  # not told: of one that took the place of another since we knew that, it cannot be long ago
             start = now_ms if life else 0.0
-        self._lives[entry.server] = entry.incarnation, start
+        self._incarnations[entry.server] = entry.incarnation, start
         return start
 
 
--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -21,14 +21,14 @@
 from otterquay.logs import Logger
 from otterquay.protocol.http import HttpRequest, ProtocolError, RequestParser, write_response
 
-CLASS, TENANT, KEY = b"otterquay-class", b"otterquay-tenant", b"idempotency-key"
-BUDGET, WORK, RETRY = b"otterquay-budget-ms", b"otterquay-work-ms", b"otterquay-retry"
-ANSWER, RETRY_AFTER = b"otterquay-answer", b"otterquay-retry-after-ms"
+CLASS_HEADER, TENANT_HEADER, IDEMPOTENCY_KEY_HEADER = b"otterquay-class", b"otterquay-tenant", b"idempotency-key"
+BUDGET_HEADER, WORK_HEADER, RETRY_HEADER = b"otterquay-budget-ms", b"otterquay-work-ms", b"otterquay-retry"
+ANSWER_HEADER, RETRY_AFTER_HEADER = b"otterquay-answer", b"otterquay-retry-after-ms"
 PLAIN = ((b"content-type", b"text/plain; charset=utf-8"),)
 READ_SIZE = 65536
 
 
-def _number(headers: dict[bytes, bytes], name: bytes) -> float | None:
+def _milliseconds(headers: dict[bytes, bytes], name: bytes) -> float | None:
     text = headers.get(name)
     if text is None:
         return None
@@ -60,36 +60,38 @@
     def read(self, http: HttpRequest) -> ClientRequest:
         """The ask in a request; ProtocolError names the header at fault and what it may be."""
         headers = http.headers
-        cls = self.classes.get(headers.get(CLASS, b""))
+        cls = self.classes.get(headers.get(CLASS_HEADER, b""))
         if cls is None:
             raise ProtocolError(400, f"otterquay-class: one of {b', '.join(self.classes).decode()}")
-        tenant = self.tenants.get(headers.get(TENANT, b""), None if self.tenants else 0)
+        tenant = self.tenants.get(headers.get(TENANT_HEADER, b""), None if self.tenants else 0)
         if tenant is None:
             raise ProtocolError(400, f"otterquay-tenant: one of {b', '.join(self.tenants).decode()}")
-        budget = _number(headers, BUDGET)
+        budget = _milliseconds(headers, BUDGET_HEADER)
         budget = self.deadlines[cls] if budget is None else min(budget, self.deadlines[cls])
-        key = headers.get(KEY, b"")
+        key = headers.get(IDEMPOTENCY_KEY_HEADER, b"")
         if len(key) > 255:
             raise ProtocolError(400, "idempotency-key: at most 255 bytes")
-        return ClientRequest(http, cls, tenant, key, budget, _number(headers, WORK), headers.get(RETRY) == b"1")
+        return ClientRequest(
+            http, cls, tenant, key, budget, _milliseconds(headers, WORK_HEADER), headers.get(RETRY_HEADER) == b"1"
+        )
 
 
-def plain(status: int, text: str, keep_alive: bool, *extra: tuple[bytes, bytes]) -> bytes:
+def plain_answer(status: int, text: str, keep_alive: bool, *extra: tuple[bytes, bytes]) -> bytes:
     """An answer of ours with one line of text."""
     return write_response(
         status, [(b"content-type", b"text/plain; charset=utf-8"), *extra], text.encode() + b"\n", keep_alive
     )
 
 
-def refusal(text: str, keep_alive: bool, retry_after_ms: float = 1000.0) -> bytes:
+def refusal_answer(text: str, keep_alive: bool, retry_after_ms: float = 1000.0) -> bytes:
     """503: not taken, and repeating is harmless (RFC 9110 section 10.2.3 counts in whole seconds)."""
-    return plain(
+    return plain_answer(
         503,
         text,
         keep_alive,
-        (ANSWER, b"refused"),
+        (ANSWER_HEADER, b"refused"),
         (b"retry-after", b"%d" % math.ceil(retry_after_ms / 1e3)),
-        (RETRY_AFTER, b"%d" % retry_after_ms),
+        (RETRY_AFTER_HEADER, b"%d" % retry_after_ms),
     )
 
 
@@ -111,12 +113,12 @@
     def final(self, answer: FinalAnswer) -> None:
         """Write the final answer in HTTP's words."""
         if answer.kind == "refused":
-            return self.answer(refusal("refused", self.keep_alive, answer.retry_after_ms))
+            return self.answer(refusal_answer("refused", self.keep_alive, answer.retry_after_ms))
         status, headers = answer.status, answer.headers
         if answer.kind == "failed":
             status, headers = 504 if answer.overdue else 502, PLAIN
         self.answer(
-            write_response(status, [(ANSWER, answer.kind.encode()), *headers], answer.body, self.keep_alive)
+            write_response(status, [(ANSWER_HEADER, answer.kind.encode()), *headers], answer.body, self.keep_alive)
         )
 
     def attempt(self, count: int) -> None:
@@ -199,7 +201,7 @@
         if len(self.clients) >= bounds.max_connections or self.stopping:
             self.log.warning("connection_refused", open=len(self.clients), stopping=self.stopping)
             client.keep_alive = False
-            return client.answer(refusal("no more connections here", False))
+            return client.answer(refusal_answer("no more connections here", False))
         self.clients.add(client)
         writer.transport.set_write_buffer_limits(high=bounds.max_body)
         try:
@@ -210,7 +212,7 @@
                 client.wake.clear()
                 await client.wake.wait()
             client.keep_alive = False
-            client.answer(plain(error.status, error.reason, False))
+            client.answer(plain_answer(error.status, error.reason, False))
         except (OSError, RuntimeError) as error:  # uvloop calls a connection that has gone the latter
             self.log.info("client_lost", reason=str(error) or type(error).__name__)
         except asyncio.CancelledError:
@@ -261,12 +263,12 @@
                 client_request = self._reader.read(http)
             except ProtocolError as error:
                 self.log.info("request_refused", status=error.status, reason=error.reason)
-                client.answer(plain(error.status, error.reason, client.keep_alive))
+                client.answer(plain_answer(error.status, error.reason, client.keep_alive))
                 continue
             if (waited := (asyncio.get_running_loop().time() - came) * 1e3) > 1.0:  # the client's time ran on
                 client_request = replace(client_request, budget_ms=max(client_request.budget_ms - waited, 0.0))
             if self.stopping or not self.taker.take(client_request, client):
-                client.answer(refusal("nothing more is taken", client.keep_alive))
+                client.answer(refusal_answer("nothing more is taken", client.keep_alive))
 
     async def _resume(self, client: Client) -> None:
         try:
@@ -297,7 +299,7 @@
             elif client.head_since and now - client.head_since >= bounds.head_timeout / 1e3:
                 self.log.info("client_ended", reason="half a request")
                 client.keep_alive = False
-                client.answer(plain(408, "the request did not come in time", False))
+                client.answer(plain_answer(408, "the request did not come in time", False))
             elif now - client.idle_since >= bounds.idle_timeout / 1e3:
                 client.writer.close()
         least = min(bounds.head_timeout, bounds.idle_timeout, bounds.write_timeout) / 1e3
--- a/otterquay/agent/http_agent.py
+++ b/otterquay/agent/http_agent.py
@@ -12,7 +12,7 @@
 from otterquay.agent.connection_pool import Pool
 from otterquay.agent.exchange import Call
 from otterquay.agent.feeds import DeskRecord, FleetRegistry, Gap
-from otterquay.agent.front import ANSWER, BUDGET, Front
+from otterquay.agent.front import ANSWER_HEADER, BUDGET_HEADER, Front
 from otterquay.agent.outcomes import End, end_of_answer
 from otterquay.agent.peers import PeerSocket
 from otterquay.agent.ports import ClientRequest, FinalAnswer, Ports
@@ -31,9 +31,9 @@
 from otterquay.protocol.sse import SseEvent
 from otterquay.store import Store
 
-ECHO, AGENT = b"otterquay-attempt", b"otterquay-agent"
-SKIPPED = HOP_BY_HOP | {BUDGET, ECHO, AGENT}
-UNANSWERED_SKIPPED = HOP_BY_HOP | {ECHO, ANSWER, orca.HEADER}
+ATTEMPT_HEADER, AGENT_HEADER = b"otterquay-attempt", b"otterquay-agent"
+UNFORWARDED_HEADERS = HOP_BY_HOP | {BUDGET_HEADER, ATTEMPT_HEADER, AGENT_HEADER}
+UNRETURNED_HEADERS = HOP_BY_HOP | {ATTEMPT_HEADER, ANSWER_HEADER, orca.HEADER}
 VERDICTS = {
     it.Verdict.NONE: "none",
     it.Verdict.ON: "on",
@@ -63,18 +63,18 @@
     def attempt(self, client_request: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
         """The client's message with our header fields."""
         http = client_request.message
-        headers = [(b"host", address.encode()), (ECHO, tag), (AGENT, b"%d" % self._agent)]
-        headers += [item for item in http.headers.items() if item[0] not in SKIPPED]
+        headers = [(b"host", address.encode()), (ATTEMPT_HEADER, tag), (AGENT_HEADER, b"%d" % self._agent)]
+        headers += [item for item in http.headers.items() if item[0] not in UNFORWARDED_HEADERS]
         return write_request(http.method, http.target, headers, http.body)
 
     def probe(self, server: int, address: str) -> tuple[bytes, bytes]:
         """An ordinary GET that an appliance answers beside its queue, with its load report."""
         tag = b"probe-%d" % server
-        return tag, write_request(b"GET", b"/otterquay/probe", [(b"host", address.encode()), (ECHO, tag)])
+        return tag, write_request(b"GET", b"/otterquay/probe", [(b"host", address.encode()), (ATTEMPT_HEADER, tag)])
 
     def end(self, tag: bytes, answer: HttpResponse) -> End:
         """Which row an answer belongs to."""
-        if answer.headers.get(ECHO, tag) != tag:
+        if answer.headers.get(ATTEMPT_HEADER, tag) != tag:
             return End.MISMATCH
         return end_of_answer(answer.status, answer.headers)
 
@@ -84,7 +84,7 @@
 
     def final(self, answer: HttpResponse) -> FinalAnswer:
         """What the client gets of it."""
-        headers = tuple([item for item in answer.headers.items() if item[0] not in UNANSWERED_SKIPPED])
+        headers = tuple([item for item in answer.headers.items() if item[0] not in UNRETURNED_HEADERS])
         return FinalAnswer("served", answer.status, headers, answer.body)
 
 
--- a/otterquay/agent/outcomes.py
+++ b/otterquay/agent/outcomes.py
@@ -11,7 +11,7 @@
 
 from otterquay.interface import Status
 
-NOT_SEEN = (b"otterquay-seen", b"no")
+NOT_SEEN_HEADER = (b"otterquay-seen", b"no")
 
 
 class End(Enum):
@@ -67,6 +67,6 @@
     """Which row a whole answer belongs to."""
     if status < 500:
         return End.ANSWER
-    if status == 503 and headers.get(NOT_SEEN[0], b"").strip().lower() == NOT_SEEN[1]:
+    if status == 503 and headers.get(NOT_SEEN_HEADER[0], b"").strip().lower() == NOT_SEEN_HEADER[1]:
         return End.TURNED_AWAY
     return End.SERVER_ERROR
--- a/otterquay/agent/runtime.py
+++ b/otterquay/agent/runtime.py
@@ -52,7 +52,7 @@
         self.open_requests: dict[int, OpenRequest] = {}
         self._numbers = 0
         self._next_vote: it.CastVote | None = None  # the newest not yet sent: it stands for all before it
-        self._voting = False
+        self._vote_in_flight = False
         self._stage: it.StageNews | None = None  # as the desk told it last
         self._timers: set[asyncio.TimerHandle] = set()
         self._said: deque[str] = deque(maxlen=20)
@@ -82,7 +82,7 @@
                     continue
                 for action in actions:
                     try:
-                        self._act(action)
+                        self._execute(action)
                     except Exception:  # one action's fault costs no other its turn
                         self.log.exception("action_failed", action=type(action).__name__)
         finally:
@@ -96,7 +96,7 @@
         if isinstance(event, it.TimerFired):
             self._set_timer(AGAIN_MS, event.token)
 
-    def _act(self, action: it.Action) -> None:
+    def _execute(self, action: it.Action) -> None:
         match action:
             case it.Send(request, server, until_ms):
                 self._send(request, server, until_ms)
@@ -245,12 +245,12 @@
     # --- votes ---
     def _vote_next(self) -> None:
         """One vote is out at a time, so that none overtakes another."""
-        if self._voting or not (vote := self._next_vote):
+        if self._vote_in_flight or not (vote := self._next_vote):
             return
-        self._voting, self._next_vote = True, None
+        self._vote_in_flight, self._next_vote = True, None
         self.ports.desk.vote(vote, self._voted)
 
     def _voted(self, ended: it.StageNews) -> None:
-        self._voting = False
+        self._vote_in_flight = False
         self.post(self.ports.fleet.restrict_stage(ended) if self.ports.fleet else ended)
         self._vote_next()
--- a/otterquay/standins/appliance.py
+++ b/otterquay/standins/appliance.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from otterquay.agent.outcomes import NOT_SEEN
+from otterquay.agent.outcomes import NOT_SEEN_HEADER
 from otterquay.interface import LoadField
 from otterquay.protocol import orca
 from otterquay.protocol.http import HttpRequest, write_response
@@ -178,7 +178,7 @@
         crowded = len(self.listener.peers) > self.shape.max_connections
         if self.draining or crowded or len(self.waiting) >= self.shape.queue:
             self.tape.add(Replied(now, id, tag, self.server, "not_seen"))
-            headers = [NOT_SEEN, *self._headers(request)]
+            headers = [NOT_SEEN_HEADER, *self._headers(request)]
             return peer.send(write_response(503, headers, b"not seen\n", keep_alive=not crowded))
         job = _Job(peer, request, id, tag, work + (self.shape.handshake_s if peer.served == 0 else 0.0))
         peer.lost = lambda: self._left(job)
--- a/otterquay/standins/clients.py
+++ b/otterquay/standins/clients.py
@@ -146,17 +146,17 @@
             (b"host", address.encode()),
             (b"x-request-id", id.encode()),
             (OPERATION, op.encode()),
-            (front.CLASS, habit.cls.encode()),
-            (front.BUDGET, b"%d" % (budget * 1e3)),
+            (front.CLASS_HEADER, habit.cls.encode()),
+            (front.BUDGET_HEADER, b"%d" % (budget * 1e3)),
             (WORK, b"%.2f" % work_ms),
         ]
         key = op if habit.effect == "keyed" else ""
         if key:
-            headers.append((front.KEY, key.encode()))
+            headers.append((front.IDEMPOTENCY_KEY_HEADER, key.encode()))
         if tenant:
-            headers.append((front.TENANT, tenant.encode()))
+            headers.append((front.TENANT_HEADER, tenant.encode()))
         if again:
-            headers.append((front.RETRY, b"1"))
+            headers.append((front.RETRY_HEADER, b"1"))
         now = loop.time()
         self.tape.add(Asked(now, id, op, agent, habit.cls, tenant, key, int(budget * 1e3) / 1e3, first))
         line.writer.write(write_request(b"POST", b"/", headers))
@@ -173,7 +173,7 @@
         if answer is None:
             self.tape.add(Lost(loop.time(), id, True))
             return "lost"
-        kind = answer.headers.get(front.ANSWER, b"").decode()
+        kind = answer.headers.get(front.ANSWER_HEADER, b"").decode()
         self.tape.add(
             Answered(
                 loop.time(),
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -680,7 +680,7 @@
 
             rig.desk.post = desk
             for verdict in (it.Verdict.ON, it.Verdict.BACK):
-                rig.runtime._act(it.CastVote(1, 0, verdict))
+                rig.runtime._execute(it.CastVote(1, 0, verdict))
             assert rig.runtime._next_vote, "the second waits for the first"
             await rig.until(lambda: sum(n.answers_vote for n in rig.seen(it.StageNews)) == 2)
             assert [v.verdict for v in rig.votes] == ["on", "back"]
@@ -699,7 +699,7 @@
                 asyncio.get_running_loop().call_later(0.05, peer.send, write_response(200, [], body))
 
             rig.desk.post = desk
-            rig.runtime._act(it.CastVote(2, 0, it.Verdict.BACK))
+            rig.runtime._execute(it.CastVote(2, 0, it.Verdict.BACK))
             await rig.until(lambda: any(n.answers_vote for n in rig.seen(it.StageNews)))
             last = rig.seen(it.StageNews)[-1]
             assert (last.answers_vote, last.phase, last.cap) == (True, it.Phase.GOING_BACK, 0.0)
@@ -712,21 +712,21 @@
         async with Rig(servers=1) as rig:
             report = b"TEXT cpu_utilization=0.5,named_metrics.inflight=3"
             rig.servers[0].behave = raw(write_response(200, [(b"endpoint-load-metrics", report)], b""))
-            rig.runtime._act(it.Probe(1))
+            rig.runtime._execute(it.Probe(1))
             await rig.until(lambda: rig.seen(it.ProbeResult))
             probed = rig.seen(it.ProbeResult)[0]
             assert (probed.status, probed.load) == (it.Status.OK, (3.0, 0.5))
             assert len(rig.runtime.pool.open) == 1
-            rig.runtime._act(it.CloseIdle(1))
+            rig.runtime._execute(it.CloseIdle(1))
             await rig.until(lambda: not rig.runtime.pool.open)
             rig.servers[0].behave = silent_server
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry"))
             await rig.until(lambda: len(rig.servers[0].got) == 2)
-            rig.runtime._act(it.Cancel(1, 0))
+            rig.runtime._execute(it.Cancel(1, 0))
             assert kind((await rig.answers(reader))[0]) == "failed"
             assert outcomes(rig) == [it.Status.CANCELLED]
-            rig.runtime._act(it.Send(1, 1, 0.0))  # over: nothing may leave
+            rig.runtime._execute(it.Send(1, 1, 0.0))  # over: nothing may leave
             assert len(rig.servers[0].got) == 2
 
     run(work)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -276,8 +276,8 @@
     for i in range(1, 2001):
         news_now = [server(i), *([server(i - 10, state="gone")] if i > 10 else [])]
         book.apply_event(f"l:{i}", news.FleetNews(i, news_now, i - 1), i * 6e4)
-    assert len(book.entries) == len(book._lives) == 10 and len(book._gone) == 30
-    assert book._gone.keys() == set(range(1961, 1991)), "the oldest are given up"
+    assert len(book.entries) == len(book._incarnations) == 10 and len(book._departed) == 30
+    assert book._departed.keys() == set(range(1961, 1991)), "the oldest are given up"
 
 
 STAGE = {"build": 2, "stage": 0, "phase": "trial", "cap": 0.1, "age_ms": 0.0}
@@ -448,10 +448,10 @@
         async with Rig(config=service(rollout={"call_timeout": "200ms"})) as rig:
             rig.desk.post = lambda peer, request: rig._vote(peer, request)
             for stage in range(50):
-                rig.runtime._act(it.CastVote(2, stage, it.Verdict.ON))
-            rig.runtime._act(it.CastVote(2, 7, it.Verdict.BACK))
+                rig.runtime._execute(it.CastVote(2, stage, it.Verdict.ON))
+            rig.runtime._execute(it.CastVote(2, 7, it.Verdict.BACK))
             await rig.until(lambda: len(rig.votes) == 2)
-            await rig.until(lambda: not rig.runtime._voting)
+            await rig.until(lambda: not rig.runtime._vote_in_flight)
             assert [(v.stage, v.verdict) for v in rig.votes] == [(0, "on"), (7, "back")]
 
     run(work)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -321,7 +321,7 @@
             assert 0 < len(rig.appliances[1].got) <= 2 + 0.25 * 40
             before = len(rig.appliances[1].got)
             rig.desk.answer = lambda _: b"OK 2 0 recalling 0 1\r\n"
-            rig.node._act(it.CastVote(2, 0, it.Verdict.BACK))
+            rig.node._execute(it.CastVote(2, 0, it.Verdict.BACK))
             await rig.until(lambda: rig.node._agent.news.phase is it.Phase.GOING_BACK)
             assert rig.desk.votes == [b"SAY 2 0 ROLLBACK"]
             for _ in range(10):
@@ -349,12 +349,12 @@
         async with Rig() as rig:
             opened = rig.desk.opened
             rig.desk.answer = lambda _: said
-            rig.node._act(it.CastVote(1, 0, it.Verdict.BACK))
+            rig.node._execute(it.CastVote(1, 0, it.Verdict.BACK))
             await rig.until(lambda: [n for n in rig.seen(it.StageNews) if n.answers_vote])
             assert [n.status for n in rig.seen(it.StageNews) if n.answers_vote] == [status]
             if status is it.Status.TIMEOUT:
                 await rig.until(lambda: rig.desk.opened > opened)
-            assert not rig.node._voting
+            assert not rig.node._vote_in_flight
 
     run(work)
 
