--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -273,7 +273,7 @@
     played = play_simulated(day, service, seed)
     assert not played.result.report.broken and not played.faults, played.result.report.violations
     assert all(played.result.report.checked[rule] > 0 for rule in RULES if rule != "drains")
-    monkeypatch.setattr(StallDetector, "waited", lambda self, now: 0.0)
+    monkeypatch.setattr(StallDetector, "max_wait_s", lambda self, now: 0.0)
     assert play_simulated(day, service, seed).result.report.violations["answered"]
 
 
@@ -298,7 +298,7 @@
 def test_a_failing_day_is_shrunk_and_its_text_plays_the_same(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(StallDetector, "waited", lambda self, now: 0.0)
+    monkeypatch.setattr(StallDetector, "max_wait_s", lambda self, now: 0.0)
     day, service = load_day(BAD_DAY)
     faults = [
         fault.model_copy(update={"at": 1500.0})
