--- a/otterquay/agent/__init__.py
+++ b/otterquay/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: sockets and timers become events of the decision module, its actions become traffic."""
+"""The agent: turns socket and timer events into events of the decision module, and carries out its actions."""
--- a/otterquay/agent/peers.py
+++ b/otterquay/agent/peers.py
@@ -1,4 +1,4 @@
-"""The datagram side of messages between agents; all checks are in `protocol.peer`."""
+"""The UDP transport of messages between agents; validation is in `protocol.peer`."""
 
 from __future__ import annotations
 
@@ -11,18 +11,23 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """One agent's socket to all others; `heard` gets sender and words."""
+    """One agent's socket to all others; `on_message` gets the sender and the message."""
 
     def __init__(
-        self, me: int, link: PeerLink, addresses: dict[int, str], heard: Callable[[int, bytes], None], log: Logger
+        self,
+        me: int,
+        link: PeerLink,
+        addresses: dict[int, str],
+        on_message: Callable[[int, bytes], None],
+        log: Logger,
     ) -> None:
-        self._link, self._heard, self._log = link, heard, log
+        self._link, self._on_message, self._log = link, on_message, log
         self._addresses = {number: split_address(address) for number, address in addresses.items()}
         self._transport: asyncio.DatagramTransport | None = None
         self._me = me
 
     async def start(self) -> None:
-        """Bind our own address. OSError when it cannot be had."""
+        """Bind the agent's own address. Raises OSError if it is not available."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self._addresses[self._me])
 
@@ -32,25 +37,25 @@
             self._transport.close()
 
     def tell(self, to: int | None, data: bytes) -> None:
-        """Send words to one agent or to all others."""
+        """Send a message to one agent, or to all others if `to` is None."""
         self._transmit(self._link.tell(to, data))
 
     def _transmit(self, datagrams: list[Transmit]) -> None:
-        for one in datagrams:
-            if self._transport and one.to in self._addresses:
-                self._transport.sendto(one.datagram, self._addresses[one.to])
+        for transmit in datagrams:
+            if self._transport and transmit.to in self._addresses:
+                self._transport.sendto(transmit.datagram, self._addresses[transmit.to])
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a datagram, or log why not."""
+        """Process a datagram, or log why it was refused."""
         try:
-            for found in self._link.receive(data):
-                if isinstance(found, Deliver):
-                    self._heard(found.sender, found.data)
+            for result in self._link.receive(data):
+                if isinstance(result, Deliver):
+                    self._on_message(result.sender, result.data)
                 else:
-                    self._transmit([found])
+                    self._transmit([result])
         except PeerRefused as error:
             self._log.warning("peer_refused", source=f"{addr[0]}:{addr[1]}", reason=str(error))
 
     def error_received(self, exc: Exception) -> None:
-        """An ICMP error for something we sent: a peer is down, its messages are lost."""
+        """Log an ICMP error for a datagram sent earlier: a peer is down and its messages are lost."""
         self._log.debug("peer_unreachable", reason=str(exc))
--- a/otterquay/agent/reconnect.py
+++ b/otterquay/agent/reconnect.py
@@ -1,4 +1,4 @@
-"""Keeping one conversation up: it is begun anew after each break, later after each failure in a row."""
+"""Reconnecting: runs a connection again after each break, with a randomised exponential delay."""
 
 from __future__ import annotations
 
@@ -10,42 +10,42 @@
 from otterquay.logs import Logger
 from otterquay.protocol.http import ProtocolError
 
-CONNECTION_ERRORS = (
-    OSError,
-    TimeoutError,
-    ProtocolError,
-    ValueError,
-)  # of what others do; all else is a fault of ours
+# caused by the other side; any other exception is a bug
+CONNECTION_ERRORS = (OSError, TimeoutError, ProtocolError, ValueError)
 
 
 @dataclass(frozen=True, slots=True)
 class Reconnect:
-    """`converse` returns why it ended, `came` tells whether it brought anything, `broken` gets each break's reason
-    and how many in a row brought nothing, and returns whether to stop. Times are seconds."""
+    """Keeps a connection up.
 
-    converse: Callable[[], Awaitable[str]]
-    came: Callable[[], bool]
-    broken: Callable[[str, int], bool]
+    `connect` runs one connection and returns why it ended; `received_any` tells whether it delivered anything;
+    `on_break` gets the reason of each break and the number of consecutive connections that delivered nothing, and
+    returns whether to stop. Times are seconds.
+    """
+
+    connect: Callable[[], Awaitable[str]]
+    received_any: Callable[[], bool]
+    on_break: Callable[[str, int], bool]
     log: Logger
-    fault: str  # the log's word for a fault of ours
+    bug_event: str  # log event for an exception that the other side cannot have caused
     rng: random.Random
-    least_s: float
-    most_s: float
-    breaks: tuple[type[Exception], ...] = CONNECTION_ERRORS
+    min_delay_s: float
+    max_delay_s: float
+    connection_errors: tuple[type[Exception], ...] = CONNECTION_ERRORS
 
     async def run(self) -> None:
-        """Until cancelled or stopped; waits at random below a bound that doubles with each failure in a row."""
+        """Run until cancelled or stopped; each delay is random, below a bound that doubles with each failure."""
         failures = 0
         while True:
             try:
-                reason = await self.converse()
-            except self.breaks as error:
+                reason = await self.connect()
+            except self.connection_errors as error:
                 reason = str(error) or type(error).__name__
-            except Exception as error:  # it costs this connection, never the feed
-                self.log.exception(self.fault)
+            except Exception as error:  # a bug ends this connection, but not the feed
+                self.log.exception(self.bug_event)
                 reason = type(error).__name__
-            failures = 0 if self.came() else failures + 1
-            if self.broken(reason, failures):
+            failures = 0 if self.received_any() else failures + 1
+            if self.on_break(reason, failures):
                 return
-            most = min(self.most_s, self.least_s * 2 ** min(failures, 16))
-            await asyncio.sleep(self.rng.uniform(self.least_s, max(most, self.least_s)))
+            max_delay_s = min(self.max_delay_s, self.min_delay_s * 2 ** min(failures, 16))
+            await asyncio.sleep(self.rng.uniform(self.min_delay_s, max(max_delay_s, self.min_delay_s)))
--- a/otterquay/agent/sockets.py
+++ b/otterquay/agent/sockets.py
@@ -1,7 +1,7 @@
-"""What lies at a socket or may be written to a pipe right now, asked of the kernel.
+"""Asks the kernel for the current state of a socket or pipe, without reading from it.
 
-The loop tells of bytes and closes once a turn. What is decided between two turns, or in the first turn after the
-process stood still, would go by what was so before; these look at the socket itself. No byte is taken.
+The event loop reports bytes and closes once per iteration. A decision between two polls, or in the first iteration
+after the process was stalled, would rest on an outdated state; these functions poll the descriptor itself.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import asyncio
 import select
 
-_ENDED = select.POLLHUP | select.POLLERR | select.POLLNVAL
+_CLOSED_EVENTS = select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 def _poll(fd: int, mask: int) -> int:
@@ -20,23 +20,23 @@
 
 def _events(transport: asyncio.BaseTransport, mask: int) -> int:
     socket = transport.get_extra_info("socket")
-    if socket is None:  # no socket of the kernel's: in simulated time nothing comes between two turns
+    if socket is None:  # simulated network: nothing arrives between two loop iterations
         return 0
     if (fd := socket.fileno()) < 0:
-        return _ENDED
+        return _CLOSED_EVENTS
     return _poll(fd, mask)
 
 
 def has_unread_data(transport: asyncio.BaseTransport) -> bool:
-    """Whether bytes, a FIN or a fault lie at the socket that nobody has read."""
+    """Whether bytes, a FIN or an error are waiting at the socket."""
     return _events(transport, select.POLLIN) != 0
 
 
 def peer_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the peer has closed its side, read or not."""
-    return _events(transport, select.POLLRDHUP) & (_ENDED | select.POLLRDHUP) != 0
+    """Whether the peer has closed its side, even if that is not read yet."""
+    return _events(transport, select.POLLRDHUP) & (_CLOSED_EVENTS | select.POLLRDHUP) != 0
 
 
 def is_writable(fd: int) -> bool:
-    """Whether a write of up to a page (4 KiB) to a pipe, a file or a terminal would not wait for its reader."""
+    """Whether a write of up to one page (4 KiB) to a pipe, file or terminal would not block."""
     return _poll(fd, select.POLLOUT) & select.POLLOUT != 0
--- a/otterquay/agent/streams.py
+++ b/otterquay/agent/streams.py
@@ -1,4 +1,4 @@
-"""Following a stream of server-sent events: connects, resumes by the last id, comes back after a break."""
+"""A client for streams of server-sent events that resumes from the last event id after a break."""
 
 from __future__ import annotations
 
@@ -15,41 +15,41 @@
 
 
 class Restart(Exception):
-    """The consumer wants the stream from the beginning: forget the last id and connect anew."""
+    """Raised by a consumer to reconnect without the last event id, so that the stream starts from the beginning."""
 
 
 @dataclass(slots=True)
 class Stream:
-    """One feed. Times are seconds; `event` gets each event, `broken` is told of each break with its reason."""
+    """One feed; `event` gets each event, `on_break` the reason of each break. Times are seconds."""
 
     url: str
     agent: int
     event: Callable[[SseEvent], None]
-    broken: Callable[[str], None]
+    on_break: Callable[[str], None]
     rng: random.Random
     log: Logger
-    least_s: float
-    most_s: float
+    min_delay_s: float
+    max_delay_s: float
     silence_s: float
     max_event: int
     last_id: str = ""
-    _came: bool = False
+    _received_any: bool = False
 
     async def run(self) -> None:
-        """Follow until cancelled; waits longer after each failure in a row, at random below the bound."""
+        """Follow the stream until cancelled, reconnecting after each break."""
         await Reconnect(
-            self._once,
-            lambda: self._came,
-            self._broken,
+            self._connect,
+            lambda: self._received_any,
+            self._handle_break,
             self.log.bind(url=self.url),
             "feed_fault",
             self.rng,
-            self.least_s,
-            self.most_s,
+            self.min_delay_s,
+            self.max_delay_s,
             (*CONNECTION_ERRORS, SseError),
         ).run()
 
-    async def _once(self) -> str:
+    async def _connect(self) -> str:
         try:
             await self._follow()
         except Restart as restart:
@@ -57,13 +57,13 @@
             return str(restart)
         return "the stream ended"
 
-    def _broken(self, reason: str, failures: int) -> bool:
+    def _handle_break(self, reason: str, failures: int) -> bool:
         self.log.warning("feed_broken", url=self.url, reason=reason, failures=failures)
-        self.broken(reason)
+        self.on_break(reason)
         return False
 
     async def _follow(self) -> None:
-        self._came = False
+        self._received_any = False
         parts = urlsplit(self.url)
         target = f"{parts.path or '/'}?agent={self.agent}".encode()
         headers = [(b"host", parts.netloc.encode()), (b"accept", b"text/event-stream")]
@@ -91,7 +91,7 @@
                 for piece in pieces:
                     for event in events.feed(piece):
                         self.last_id = event.id
-                        self._came = True
+                        self._received_any = True
                         self.event(event)
         finally:
             writer.close()
