--- a/tests/noderig.py
+++ b/tests/noderig.py
@@ -15,7 +15,7 @@
 from otterquay.node.agent import Node
 from otterquay.node.config import NodeConfig, read_config
 from otterquay.protocol import resp
-from tests.rig import Watch
+from tests.rig import EventWatcher
 
 CLASSES = [
     {"name": "lobby-read", "effect": "idempotent", "deadlineMs": 6000.0, "onTimeMs": 1500.0, "lateWorth": 0.2},
@@ -221,7 +221,7 @@
                 writer.write(data)
 
 
-class Rig(Watch):
+class Rig(EventWatcher):
     """Use as `async with`; one agent and `count` appliances `s-0`, `s-1`, … of build 1 in the north."""
 
     def __init__(self, count: int = 2, sockets: int = 256, seed: int = 1, **changes: Any) -> None:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -32,16 +32,16 @@
 Behave = Callable[[Peer, HttpRequest], None]
 
 
-def right(peer: Peer, request: HttpRequest) -> None:
+def answer_at_once(peer: Peer, request: HttpRequest) -> None:
     """Answer at once."""
     peer.send(write_response(200, [(b"content-type", b"text/plain")], b"right\n"))
 
 
-def silent_server(peer: Peer, request: HttpRequest) -> None:
+def never_answer(peer: Peer, request: HttpRequest) -> None:
     """Never answer."""
 
 
-def raw(data: bytes, close: bool = False) -> Behave:
+def answer_bytes(data: bytes, close: bool = False) -> Behave:
     """Answer with these bytes, whatever they are."""
 
     def behave(peer: Peer, request: HttpRequest) -> None:
@@ -55,7 +55,7 @@
 class Server:
     """A scripted appliance; `behave` may be replaced at any time."""
 
-    def __init__(self, number: int, behave: Behave = right) -> None:
+    def __init__(self, number: int, behave: Behave = answer_at_once) -> None:
         self.number, self.behave, self.got = number, behave, list[HttpRequest]()
         self.listener = Listener(self._request)
 
@@ -64,7 +64,7 @@
         self.behave(peer, request)
 
 
-class Watch:
+class EventWatcher:
     """What both rigs look at: the events that the module got."""
 
     events: list[it.Event]
@@ -82,7 +82,7 @@
         raise AssertionError("what was waited for did not come about")
 
 
-class Rig(Watch):
+class Rig(EventWatcher):
     """Use as `async with`; one agent, `servers` appliances of build 1 in its zone."""
 
     def __init__(
@@ -112,10 +112,10 @@
             )
         fleet = await self.list.start()
         desk = await self.desk.start() if self.with_desk else "127.0.0.1:9"
-        await self.up(fleet, desk)
+        await self.start_agent(fleet, desk)
         return self
 
-    async def up(self, fleet: str, desk: str) -> None:
+    async def start_agent(self, fleet: str, desk: str) -> None:
         """Start the agent."""
         agent = self.config.agent.model_copy(update={"listen": "127.0.0.1:0"})
         feeds = self.config.feeds.model_copy(update={"fleet": f"http://{fleet}", "desk": f"http://{desk}"})
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 import uvloop
-from rig import Rig, kind, raw, right, run, service, silent_server
+from rig import Rig, answer_at_once, answer_bytes, kind, never_answer, run, service
 
 from otterquay import interface as it
 from otterquay.agent.outcomes import END_MEANINGS, End
@@ -63,14 +63,14 @@
 @pytest.mark.parametrize(
     ("behave", "status", "again"),
     [
-        (raw(ERROR), it.Status.ERROR, False),
-        (raw(NOT_SEEN), it.Status.FULL, True),
-        (raw(write_response(503, [], b"")), it.Status.ERROR, False),
-        (raw(b"\x00garbage\r\n\r\n"), it.Status.ERROR, False),
-        (raw(b"", close=True), it.Status.RESET, False),
-        (raw(b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf", close=True), it.Status.RESET, False),
-        (raw(write_response(200, [(b"otterquay-attempt", b"99-0")], b"x")), it.Status.RESET, False),
-        (silent_server, it.Status.TIMEOUT, False),
+        (answer_bytes(ERROR), it.Status.ERROR, False),
+        (answer_bytes(NOT_SEEN), it.Status.FULL, True),
+        (answer_bytes(write_response(503, [], b"")), it.Status.ERROR, False),
+        (answer_bytes(b"\x00garbage\r\n\r\n"), it.Status.ERROR, False),
+        (answer_bytes(b"", close=True), it.Status.RESET, False),
+        (answer_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf", close=True), it.Status.RESET, False),
+        (answer_bytes(write_response(200, [(b"otterquay-attempt", b"99-0")], b"x")), it.Status.RESET, False),
+        (never_answer, it.Status.TIMEOUT, False),
     ],
 )
 def test_how_an_attempt_ended_decides_whether_an_unsafe_request_goes_again(
@@ -121,7 +121,7 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             assert kind(await rig.get("race-entry")) == "served"
-            rig.servers[0].behave = raw(b"", close=True)  # read, then closed: it looks like a stale one
+            rig.servers[0].behave = answer_bytes(b"", close=True)  # read, then closed: it looks like a stale one
             answer = await rig.get("race-entry")
             assert kind(answer) == "failed" and len(rig.servers[0].got) == 2
             assert outcomes(rig) == [it.Status.OK, it.Status.RESET]
@@ -174,8 +174,8 @@
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry", budget=200))
             assert kind((await rig.answers(reader))[0]) == "failed"
-            right(peers[0], rig.servers[0].got[0])
-            rig.servers[0].behave = right
+            answer_at_once(peers[0], rig.servers[0].got[0])
+            rig.servers[0].behave = answer_at_once
             writer.write(rig.ask())  # the connection to the client is in step, the other one is gone
             assert kind((await rig.answers(reader))[0]) == "served"
             assert outcomes(rig) == [it.Status.TIMEOUT, it.Status.OK]
@@ -186,7 +186,7 @@
 def test_reply_and_time_out_in_one_turn_of_the_loop_end_the_attempt_once() -> None:
     async def work() -> None:
         async with Rig(servers=1) as rig:
-            rig.servers[0].behave = silent_server
+            rig.servers[0].behave = never_answer
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry"))
             await rig.until(lambda: rig.servers[0].got)
@@ -206,7 +206,7 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             one = write_response(200, [], b"first\n")
-            rig.servers[0].behave = raw(one + write_response(200, [], b"second\n"))
+            rig.servers[0].behave = answer_bytes(one + write_response(200, [], b"second\n"))
             for _ in range(5):
                 assert (await rig.get()).body == b"first\n"
             peers: list[Any] = []
@@ -228,7 +228,7 @@
     async def work() -> None:
         async with Rig(servers=2) as rig:
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             _, writer = await rig.connect()
             writer.write(rig.ask("lobby-read", budget=400))
             await rig.until(lambda: sum(len(s.got) for s in rig.servers))
@@ -296,7 +296,7 @@
         bounds = service(front={"max_body": "64KiB", "write_timeout": "200ms"})
         async with Rig(config=bounds) as rig:
             for server in rig.servers:
-                server.behave = raw(write_response(200, [], b"x" * 60000))
+                server.behave = answer_bytes(write_response(200, [], b"x" * 60000))
             reader, writer = await asyncio.open_connection(*rig.address, limit=1024)
             writer.transport.pause_reading()
             for _ in range(400):
@@ -367,7 +367,7 @@
     async def work() -> None:
         async with Rig(config=service(limits={"max_open": 3})) as rig:
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             asks = [asyncio.ensure_future(rig.get(budget=500)) for _ in range(3)]
             await rig.until(lambda: len(rig.seen(it.Request)) == 3)
             answer = await rig.get()
@@ -397,7 +397,7 @@
             await asyncio.sleep(0.05)
             assert not stopping.done()
             for peer, request in peers:
-                right(peer, request)
+                answer_at_once(peer, request)
             for reader, _ in lines:
                 assert kind((await rig.answers(reader))[0]) == "served"
             await stopping
@@ -415,7 +415,7 @@
             await rig.until(lambda: rig.runtime.pool.idle)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             used = len(__import__("os").listdir("/proc/self/fd"))
             for free in list(rig.runtime.pool.idle):
                 rig.runtime.pool.close_idle(free)
@@ -428,7 +428,7 @@
             assert kind(answer) == "refused", "no byte left, so repeating is harmless"
             assert set(outcomes(rig)[1:]) == {it.Status.CONNECT_FAILED}
             for server in rig.servers:
-                server.behave = right
+                server.behave = answer_at_once
             writer.write(rig.ask())
             assert kind((await rig.answers(reader))[0]) == "served"
 
@@ -578,7 +578,7 @@
             rig.change(msgspec.structs.replace(rig.entries[1], incarnation=5, age_ms=100.0))
             await rig.until(lambda: len(rig.seen(it.ServerList)) == 2)
             rig.runtime.close()
-            await rig.up("127.0.0.1:9", rig.desk.listener.address)
+            await rig.start_agent("127.0.0.1:9", rig.desk.listener.address)
             cached = rig.seen(it.ServerList)[0]
             assert cached.kind is it.ListKind.CACHED and len(cached.entries) == 2
             now = asyncio.get_running_loop().time() * 1e3
@@ -588,7 +588,7 @@
             store = rig.runtime._state_store._store
             await store.commit([Put("list", b"\0" * 8, b"{ torn")])
             rig.runtime.close()
-            await rig.up(rig.list.listener.address, rig.desk.listener.address)
+            await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
             assert rig.seen(it.ServerList)[0].kind is it.ListKind.FULL
 
     run(work)
@@ -608,7 +608,7 @@
             rig.runtime.close()
             await asyncio.sleep(0.05)
             rig.with_desk = False
-            await rig.up(rig.list.listener.address, "127.0.0.1:9")
+            await rig.start_agent(rig.list.listener.address, "127.0.0.1:9")
             restored = rig.runtime._agent
             assert {k: len(v) for k, v in restored.tries.items()} == tries
             assert restored._cap(1) is None and restored._cap(2) == restored.roll.stage_cap[0]
@@ -617,7 +617,7 @@
 
             rig.runtime.close()  # beside it: one that begins with nothing spends what was spent again
             rig.disk = FaultDisk()
-            await rig.up(rig.list.listener.address, "127.0.0.1:9")
+            await rig.start_agent(rig.list.listener.address, "127.0.0.1:9")
             for _ in range(20):
                 await rig.get()
             empty = rig.runtime._agent
@@ -640,7 +640,7 @@
             assert kind(await rig.get()) == "served"
             rig.disk.fail = lambda *_: None
             rig.runtime.close()
-            await rig.up(rig.list.listener.address, rig.desk.listener.address)
+            await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
             assert rig.runtime._state_store._store.failed is None and kind(await rig.get()) == "served"
 
     run(work)
@@ -711,7 +711,7 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             report = b"TEXT cpu_utilization=0.5,named_metrics.inflight=3"
-            rig.servers[0].behave = raw(write_response(200, [(b"endpoint-load-metrics", report)], b""))
+            rig.servers[0].behave = answer_bytes(write_response(200, [(b"endpoint-load-metrics", report)], b""))
             rig.runtime._execute(it.Probe(1))
             await rig.until(lambda: rig.seen(it.ProbeResult))
             probed = rig.seen(it.ProbeResult)[0]
@@ -719,7 +719,7 @@
             assert len(rig.runtime.pool.open) == 1
             rig.runtime._execute(it.CloseIdle(1))
             await rig.until(lambda: not rig.runtime.pool.open)
-            rig.servers[0].behave = silent_server
+            rig.servers[0].behave = never_answer
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry"))
             await rig.until(lambda: len(rig.servers[0].got) == 2)
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -16,7 +16,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import Rig, right, run, silent_server
+from rig import Rig, answer_at_once, never_answer, run
 
 from otterquay import interface as it
 from otterquay.chat import messages as ms
@@ -38,7 +38,7 @@
         self.changes = {"listen": port, **chat}
         super().__init__(servers, SERVICE.model_copy(update={"chat": SERVICE.chat.model_copy(update=self.changes)}))
 
-    async def up(self, fleet: str, desk: str) -> None:
+    async def start_agent(self, fleet: str, desk: str) -> None:
         from otterquay.agent.http_agent import HttpAgent
 
         made = HttpAgent.__init__
@@ -48,7 +48,7 @@
 
         HttpAgent.__init__ = with_key  # type: ignore[method-assign]
         try:
-            await super().up(fleet, desk)
+            await super().start_agent(fleet, desk)
         finally:
             HttpAgent.__init__ = made  # type: ignore[method-assign]
 
@@ -133,7 +133,7 @@
             again = await rig.back(talk, "e1")
             again.send(type="command", id="e1", text="/entry cup")
             assert (await again.next())["type"] == "accepted"
-            right(*held[0])
+            answer_at_once(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             assert len(held) == 1 and len(rig.seen(it.Request)) == 1
             assert not rig.seen(it.Abandoned), "a lost socket abandons no command"
@@ -145,15 +145,15 @@
     async def work() -> None:
         async with ChatRig() as rig:
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             talk = await rig.enter()
             talk.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: any(s.got for s in rig.servers))
             rig.runtime.gateway.abort()  # type: ignore[union-attr]
             rig.runtime.close()
             for server in rig.servers:
-                server.behave = right
-            await rig.up(rig.list.listener.address, rig.desk.listener.address)
+                server.behave = answer_at_once
+            await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
             again = await rig.back(talk, "e1")
             assert "resumed" not in again.welcome or not again.welcome["resumed"]
             assert (await again.next())["kind"] == "unknown"
@@ -180,7 +180,7 @@
             await home.until(lambda: held)
             again = await other.back(talk, "e1")  # while the first socket still waits
             assert again.welcome["resumed"] and await talk.code() == ms.TAKEN_OVER
-            right(*held[0])
+            answer_at_once(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             again.send(type="command", id="l1", text="/lobby")
             assert (await again.next())["type"] == "accepted"
@@ -269,7 +269,7 @@
             await asyncio.sleep(0.02)
             with pytest.raises(OSError):
                 await dial(rig.chat_at)
-            right(*held[0])
+            answer_at_once(*held[0])
             assert (await talk.next("answer"))["kind"] == "served"
             await stopping
             assert await talk.code() == 1012
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -15,7 +15,7 @@
 import msgspec
 import pytest
 from helpers import Drive, entry, sends, settings
-from rig import Rig, kind, raw, run, service
+from rig import Rig, answer_bytes, kind, run, service
 from rulebook import Books
 from test_chat_hub import Desk
 from test_votes import good, offered, play
@@ -434,7 +434,7 @@
 
     async def work() -> None:
         async with Rig(servers=1) as rig:
-            rig.servers[0].behave = raw(write_response(200, [(b"endpoint-load-metrics", report)], b""))
+            rig.servers[0].behave = answer_bytes(write_response(200, [(b"endpoint-load-metrics", report)], b""))
             assert kind(await rig.get()) == "served"
 
     if len(report) < 1000:
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -384,7 +384,7 @@
                     capped = loop.time()
                 case "restart":
                     rig.runtime.close()
-                    await rig.up(rig.list.listener.address, rig.desk.listener.address)
+                    await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
             await asyncio.sleep(gap_s)
         for _ in range(8):  # what is sent again goes on being failed; and time runs out
             await fail_held()
--- a/tests/test_replaced.py
+++ b/tests/test_replaced.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 from helpers import Drive, entry, sends, settings
-from rig import Rig, kind, right, run, service
+from rig import Rig, answer_at_once, kind, run, service
 
 from otterquay import interface as it
 from otterquay.agent.connection_pool import Pool
@@ -220,10 +220,10 @@
             await rig.until(lambda: held)
             rig.change(msgspec.structs.replace(rig.entries[1], incarnation=8))
             await rig.until(lambda: len(rig.seen(it.ServerList)) == 3)
-            right(held[0], rig.servers[0].got[-1])
+            answer_at_once(held[0], rig.servers[0].got[-1])
             assert kind((await rig.answers(reader))[0]) == "served"
             await rig.until(lambda: not pool.open)
-            rig.servers[0].behave = right
+            rig.servers[0].behave = answer_at_once
             assert kind(await rig.get()) == "served" and pool.opened == 3
 
     run(work)
@@ -231,7 +231,7 @@
 
 def test_a_pool_that_was_told_nothing_goes_on_using_its_connection() -> None:
     async def work() -> None:
-        listener = Listener(right)
+        listener = Listener(answer_at_once)
         await listener.start()
         pool, ended = Pool(1.0, 10.0, HttpApplianceProtocol(0, ()), silent()), list[HttpResponse | None]()
         payload = write_request(b"GET", b"/", [(b"host", b"x")])
