--- a/tests/crossings/forcing.py
+++ b/tests/crossings/forcing.py
@@ -1,4 +1,4 @@
-"""What the tests of crossings force them with: the agent's own loop, the kernel's word, a clock that is set."""
+"""Tools to force a race: waiting without a loop iteration, delaying connects, setting a clock."""
 
 from __future__ import annotations
 
@@ -24,29 +24,29 @@
 
 
 def run(work: Work, loop: str = "uvloop") -> None:
-    """On the loop of the agent in service, unless another is named."""
+    """Run a test on the event loop that the agent uses in service, or on another one by name."""
     with asyncio.Runner(loop_factory=LOOPS[loop]) as runner:
         runner.run(work())
 
 
-def arrived(is_there: Callable[[], bool]) -> None:
-    """Wait without a turn of the loop until the kernel has handed over what was sent."""
+def wait_until_arrived(is_there: Callable[[], bool]) -> None:
+    """Wait, without running the event loop, until the kernel has delivered what was sent."""
     for _ in range(5000):
         if is_there():
             return
         select.select([], [], [], 0.001)
-    raise AssertionError("what was sent has not come")
+    raise AssertionError("the data sent has not arrived")
 
 
 async def until(true: Callable[[], object]) -> None:
-    """Wait until something holds; the test fails when it never does."""
+    """Wait until a condition holds; fails after a timeout."""
     async with asyncio.timeout(20):
         while not true():
             await asyncio.sleep(0.001)
 
 
-async def warm(rig: Rig) -> int:
-    """An idle connection to each appliance, which may be used again at once; how many requests that took."""
+async def open_idle_connections(rig: Rig) -> int:
+    """Open an idle connection to each appliance, reusable at once; returns the number of requests that took."""
     rig.node.pool.rest_s = 0.0
     while not all(one.got for one in rig.appliances):
         assert await rig.say(rig.ask())
@@ -56,8 +56,8 @@
     return sum(len(one.got) for one in rig.appliances)
 
 
-def holding(rig: Rig) -> list[tuple[asyncio.StreamWriter, bytes]]:
-    """All appliances keep what they get; who asked for what is in the list."""
+def hold_requests(rig: Rig) -> list[tuple[asyncio.StreamWriter, bytes]]:
+    """Make all appliances hold their requests; the list returned has the connection and id of each."""
     held: list[tuple[asyncio.StreamWriter, bytes]] = []
     for one in rig.appliances:
         one.behave = lambda _, writer, words: held.append((writer, words[2]))
@@ -65,8 +65,8 @@
 
 
 @contextmanager
-def at(front: Front, now: float) -> Iterator[None]:
-    """The front's clock stands at a time."""
+def front_clock_at(front: Front, now: float) -> Iterator[None]:
+    """Set the clock of a front to a fixed time."""
     true = Front.now
     Front.now = lambda self: now if self is front else true(self)  # type: ignore[method-assign]
     try:
@@ -75,15 +75,14 @@
         Front.now = true  # type: ignore[method-assign]
 
 
-class Gate:
-    """While it is entered, connections to a rig's appliances come up only once `open` is set; `waiting` has the
-    addresses that such connections are wanted to, in order."""
+class ConnectGate:
+    """Delays connections to a rig's appliances until `open` is set; `waiting` lists their addresses in order."""
 
     def __init__(self, rig: Rig) -> None:
         self.open, self.waiting = asyncio.Event(), list[str]()
         self._kept, self._true = {one.address for one in rig.appliances}, asyncio.open_connection
 
-    def __enter__(self) -> Gate:
+    def __enter__(self) -> ConnectGate:
         asyncio.open_connection = self._connect
         return self
 
@@ -97,15 +96,15 @@
         return await self._true(host, port, **more)
 
 
-class Plain:
-    """An appliance of blocking sockets, for what has to happen without a turn of the agent's loop."""
+class BlockingAppliance:
+    """An appliance on blocking sockets, for steps that must not run the agent's event loop."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.address = "{}:{}".format(*self.listener.getsockname())
 
     async def accept(self) -> socket.socket:
-        """The next connection, as a blocking socket."""
+        """Accept the next connection and return it as a blocking socket."""
         self.listener.setblocking(False)
         async with asyncio.timeout(20):
             conn, _ = await asyncio.get_running_loop().sock_accept(self.listener)
@@ -115,8 +114,8 @@
         self.listener.close()
 
 
-class Calls:
-    """A pool on its own, and how its calls ended."""
+class PoolCalls:
+    """A connection pool without an agent, and the ends of its calls."""
 
     def __init__(self) -> None:
         self.pool = Pool(5.0, 60.0, RespSpeech([]), silent())
@@ -126,8 +125,8 @@
         until = asyncio.get_running_loop().time() + 60
         return self.pool.call(address, b"1-0", lambda: payload, until, lambda call, end, got: self.ends.append(end))
 
-    async def answered(self, plain: Plain) -> socket.socket:
-        """A call that has had its answer; returns the connection, now idle."""
+    async def answered(self, plain: BlockingAppliance) -> socket.socket:
+        """Make a call and answer it; returns the appliance's side of the connection, which is then idle."""
         self.call(plain.address)
         conn = await plain.accept()
         await asyncio.get_running_loop().sock_recv(conn, 100)
--- a/tests/crossings/test_appliances.py
+++ b/tests/crossings/test_appliances.py
@@ -1,4 +1,4 @@
-"""Connections to appliances: what lies unread, what is given up in the turn of its making."""
+"""Races on connections to appliances: unread data on idle connections, calls cancelled while connecting."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from otterquay.agent.connection_pool import MAX_REST_S
 from otterquay.agent.outcomes import End
 from otterquay.agent.sockets import has_unread_data
-from tests.crossings.forcing import LOOPS, Calls, Plain, arrived, run, until
+from tests.crossings.forcing import LOOPS, BlockingAppliance, PoolCalls, run, until, wait_until_arrived
 from tests.noderig import served
 
 
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize("loop", LOOPS)
 def test_what_lies_unread_on_an_idle_connection_never_meets_the_next_request(what: str, loop: str) -> None:
     async def work() -> None:
-        calls, plain = Calls(), Plain()
+        calls, plain = PoolCalls(), BlockingAppliance()
         conn = await calls.answered(plain)
         (idle,) = calls.pool.open
         if what == "a reset":
@@ -27,8 +27,8 @@
             conn.sendall(served(b"second")[: 10 if what.startswith("half") else None])
         else:
             conn.close()
-        arrived(lambda: has_unread_data(idle.writer.transport))
-        calls.call(plain.address)  # in the same turn: nothing of it has been read
+        wait_until_arrived(lambda: has_unread_data(idle.writer.transport))
+        calls.call(plain.address)  # in the same loop iteration, so nothing has been read
         other = await plain.accept()
         await asyncio.get_running_loop().sock_recv(other, 100)
         other.sendall(served(b"own"))
@@ -43,9 +43,9 @@
 
 def test_the_rest_of_idle_connections_grows_with_how_late_second_answers_come() -> None:
     async def work() -> None:
-        calls, plain = Calls(), Plain()
+        calls, plain = PoolCalls(), BlockingAppliance()
         calls.pool.rest_s = 0.01
-        # Powers of two: taken from a clock's reading and back again, they lose nothing to rounding.
+        # powers of two, so that adding them to a clock reading and subtracting it again loses nothing to rounding
         for late_s, rest_s in ((2**-9, 0.01), (2**-8, 2**-6), (3 * 2**-10, 2**-6), (64.0, MAX_REST_S)):
             calls.ends.clear()
             conn = await calls.answered(plain)
@@ -59,7 +59,7 @@
         await asyncio.get_running_loop().sock_recv(other, 100)
         other.sendall(served(b"good"))
         await until(lambda: len(calls.ends) == 2)
-        calls.call(plain.address)  # at once: the connection has not rested
+        calls.call(plain.address)  # at once, before the connection has been idle for the rest
         assert not any(connection.call for connection in calls.pool.open) and calls.pool.connecting
         calls.pool.close()
         for one in (plain, conn, other):
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_call_given_up_in_any_turn_of_its_connecting_leaves_no_connection(loop: str) -> None:
     async def work() -> None:
-        calls, plain = Calls(), Plain()
+        calls, plain = PoolCalls(), BlockingAppliance()
         plain.listener.listen(256)
         for turns in range(30):
             call = calls.call(plain.address)
@@ -82,7 +82,7 @@
         await until(lambda: not calls.pool.open and not calls.pool.connecting)
         plain.listener.setblocking(False)
         ended = 0
-        while True:  # each that came up reads its end, sooner or later
+        while True:  # each established connection is closed sooner or later
             try:
                 conn, _ = plain.listener.accept()
             except BlockingIOError:
@@ -95,7 +95,7 @@
                 pass
             ended += 1
             conn.close()
-        assert ended, "some came up"
+        assert ended, "some connections were established"
         plain.close()
 
     run(work, loop)
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("loop", LOOPS)
 def test_a_call_taken_back_in_the_turn_of_its_write_has_not_run(loop: str) -> None:
     async def work() -> None:
-        calls, plain = Calls(), Plain()
+        calls, plain = PoolCalls(), BlockingAppliance()
         conn = await calls.answered(plain)
         big = b"*1\r\n$9000000\r\n" + b"x" * 9_000_000 + b"\r\n"  # more than the kernel takes at once
         call = calls.call(plain.address, big)
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts whose connection comes up late: what was decided is looked at again before the first byte."""
+"""Attempts whose connection is established late: the decision is checked again before the first byte is sent."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from otterquay import interface as it
 from otterquay.agent.sockets import peer_closed
-from tests.crossings.forcing import Calls, Gate, Plain, arrived, run, until
+from tests.crossings.forcing import BlockingAppliance, ConnectGate, PoolCalls, run, until, wait_until_arrived
 from tests.noderig import SETTINGS, Rig, answer, served
 
 LATE = {**SETTINGS["limits"], "connectTimeoutMs": 30000.0}
 Change = Callable[[Rig, str], Any]
 
 
-async def attempt_connecting(rig: Rig, gate: Gate) -> tuple[asyncio.StreamReader, str, str]:
-    """A request is taken and its attempt connects: the client's side, the name of that server and of the other."""
+async def attempt_connecting(rig: Rig, gate: ConnectGate) -> tuple[asyncio.StreamReader, str, str]:
+    """Send a request and wait until its attempt connects; returns its reader, that server and the other one."""
     reader, writer = await rig.connect()
     writer.write(rig.ask(id="one", d=6000))
     await rig.until(lambda: gate.waiting)
@@ -42,7 +42,7 @@
 def test_an_attempt_whose_server_changes_while_it_connects_is_decided_anew(what: str) -> None:
     async def work() -> None:
         async with Rig(count=2, limits=LATE) as rig:
-            with Gate(rig) as gate:
+            with ConnectGate(rig) as gate:
                 reader, name, _ = await attempt_connecting(rig, gate)
                 lists = len(rig.seen(it.ServerList))
                 CHANGES[what](rig, name)
@@ -53,8 +53,8 @@
             assert (first.status, first.over, second.status) == (it.Status.MOOT, False, it.Status.OK)
             assert len(rig.appliances[0].got) + len(rig.appliances[1].got) == 1
             if what in ("drains", "is gone", "is elsewhere"):
-                assert not rig.appliances[int(name[2:])].got, "not where it was decided for"
-            assert len(rig.node.pool.open) == 1, "what came up for the first has closed"
+                assert not rig.appliances[int(name[2:])].got, "not sent to the server first chosen"
+            assert len(rig.node.pool.open) == 1, "the connection for the first attempt was closed"
 
     run(work)
 
@@ -63,11 +63,11 @@
     ("state", "begins", "decided"),
     [
         (b"2 0 recalling 0 5", 0, 1),
-        (b"2 0 recalled 1 5", 0, 1),  # nothing may be tried any more
-        (b"2 0 testing 0.25 5", 1, 2),  # one may, by the free ones: that is for the module to say
+        (b"2 0 recalled 1 5", 0, 1),  # no further attempt is allowed
+        (b"2 0 testing 0.25 5", 1, 2),  # the free attempts may allow one: the module decides
         (b"2 0 testing 1 5", 1, 1),
         (b"2 0 live 1 5", 1, 1),
-        (b"2 1 testing 1 5", 1, 1),  # no less than before
+        (b"2 1 testing 1 5", 1, 1),  # the cap is not lower than before
     ],
 )
 def test_an_attempt_whose_cap_falls_while_it_connects_is_decided_anew(
@@ -78,16 +78,16 @@
     async def work() -> None:
         async with Rig(count=1, limits=LATE) as rig:
             rig.desk.tell(b"2 0 testing 1 5")
-            rig.discovery.set("s-0", version_no=2, startedAtMs=1.0)  # long ago: it is warm
+            rig.discovery.set("s-0", version_no=2, startedAtMs=1.0)  # started long ago, so it is warm
             await rig.until(lambda: rig.seen(it.StageNews)[-1].build == 2 and len(rig.seen(it.ServerList)) > 2)
-            with Gate(rig) as gate:
+            with ConnectGate(rig) as gate:
                 reader, _, _ = await attempt_connecting(rig, gate)
-                heard = len(rig.seen(it.StageNews))
+                stages = len(rig.seen(it.StageNews))
                 rig.desk.tell(state)
-                await rig.until(lambda: len(rig.seen(it.StageNews)) > heard)
+                await rig.until(lambda: len(rig.seen(it.StageNews)) > stages)
                 gate.open.set()
-                said = await answer(reader)
-            assert len(rig.appliances[0].got) == begins and (said == b"for one") is bool(begins)
+                reply = await answer(reader)
+            assert len(rig.appliances[0].got) == begins and (reply == b"for one") is bool(begins)
             assert len(rig.seen(it.Outcome)) == decided and not rig.node.open_requests
 
     run(work)
@@ -96,15 +96,15 @@
 def test_an_attempt_whose_clients_close_lies_unread_when_it_could_begin_does_not() -> None:
     async def work() -> None:
         async with Rig(count=1, limits=LATE) as rig:
-            with Gate(rig) as gate:
+            with ConnectGate(rig) as gate:
                 plain = socket.create_connection(rig.address)
                 plain.sendall(rig.ask(id="left", d=6000))
                 await rig.until(lambda: gate.waiting)
                 (client,) = rig.node.front.clients
                 (call,) = rig.node.pool.connecting
                 plain.close()
-                arrived(lambda: peer_closed(client.transport))
-                assert call.build_payload() is None, "asked in the turn before the close is read"
+                wait_until_arrived(lambda: peer_closed(client.transport))
+                assert call.build_payload() is None, "called in the loop iteration before the close is read"
                 gate.open.set()
                 await rig.until(lambda: not rig.node.open_requests and not rig.node.pool.connecting)
             assert not rig.appliances[0].got and len(rig.seen(it.Abandoned)) == 1
@@ -115,25 +115,25 @@
 def test_an_attempt_tells_the_time_that_is_left_when_it_begins() -> None:
     async def work() -> None:
         async with Rig(count=1, limits=LATE) as rig:
-            with Gate(rig) as gate:
+            with ConnectGate(rig) as gate:
                 reader, _, _ = await attempt_connecting(rig, gate)
-                (held,) = rig.node.open_requests.values()
+                (open_request,) = rig.node.open_requests.values()
                 loop = asyncio.get_running_loop()
-                until_s, waited = held.deadline_s, loop.time() + 0.2
+                until_s, waited = open_request.deadline_s, loop.time() + 0.2
                 await rig.until(lambda: loop.time() > waited)
                 gate.open.set()
                 assert await answer(reader) == b"for one"
             (words,) = rig.appliances[0].got
-            (told,) = (int(item[2:]) for item in words[3].split(b",") if item.startswith(b"d="))
-            assert 0 < told <= (until_s - waited) * 1e3 + 1
+            (left_ms,) = (int(item[2:]) for item in words[3].split(b",") if item.startswith(b"d="))
+            assert 0 < left_ms <= (until_s - waited) * 1e3 + 1
 
     run(work)
 
 
 def test_a_connection_that_came_up_for_a_process_that_has_ended_carries_its_call_and_no_other() -> None:
     async def work() -> None:
-        calls, plain = Calls(), Plain()
-        calls.call(plain.address)  # as a probe: it may begin whatever became of the process
+        calls, plain = PoolCalls(), BlockingAppliance()
+        calls.call(plain.address)  # like a probe, it may be sent whatever became of the process
         calls.pool.retire([plain.address])
         conn = await plain.accept()
         await asyncio.get_running_loop().sock_recv(conn, 100)
--- a/tests/crossings/test_clients.py
+++ b/tests/crossings/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that leave, break the protocol or wait, in the turn in which something else happens to them."""
+"""Races of clients that disconnect, break the protocol or wait while something else happens to them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from otterquay import interface as it
 from otterquay.agent.sockets import peer_closed
 from otterquay.node import client as clients
-from tests.crossings.forcing import arrived, at, holding, run, warm
+from tests.crossings.forcing import front_clock_at, hold_requests, open_idle_connections, run, wait_until_arrived
 from tests.noderig import SETTINGS, Rig, answer, quiet, raw, served
 
 
 def test_an_attempt_whose_client_left_while_it_connected_never_begins() -> None:
     async def work() -> None:
         async with Rig(count=1, limits={**SETTINGS["limits"], "connectTimeoutMs": 30000.0}) as rig:
-            full = socket.socket()  # its queue holds one: a second connection does not come up
+            full = socket.socket()  # its backlog holds one connection, so a second is not established
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             address = "{}:{}".format(*full.getsockname())
@@ -28,7 +28,9 @@
             writer.write(rig.ask(id="left", d=6000))
             await rig.until(lambda: rig.node.pool.connecting)
             writer.close()
-            await rig.until(lambda: rig.seen(it.Outcome) and not rig.node.pool.connecting)  # it ends a turn later
+            await rig.until(
+                lambda: rig.seen(it.Outcome) and not rig.node.pool.connecting
+            )  # the connect ends one loop iteration later
             assert [e.status for e in rig.seen(it.Outcome)] == [it.Status.MOOT] and len(rig.seen(it.Abandoned)) == 1
             assert not rig.node.open_requests and not rig.node.pool.open
             filler.close()
@@ -40,16 +42,16 @@
 def test_a_retry_whose_client_has_just_left_does_not_begin() -> None:
     async def work() -> None:
         async with Rig(count=3) as rig:
-            before = await warm(rig)
-            held = holding(rig)
+            before = await open_idle_connections(rig)
+            held = hold_requests(rig)
             plain = socket.create_connection(rig.address)
             plain.sendall(rig.ask(id="left"))
             await rig.until(lambda: held)
             (client,) = rig.node.front.clients
             (attempt,) = (c for c in rig.node.pool.open if c.call)
             plain.close()
-            arrived(lambda: peer_closed(client.transport))
-            attempt.reader.feed_data(b"-BUSY\r\n")  # read in the turn before the close is
+            wait_until_arrived(lambda: peer_closed(client.transport))
+            attempt.reader.feed_data(b"-BUSY\r\n")  # read in the loop iteration before the close is
             await rig.until(lambda: rig.seen(it.Abandoned))
             assert [e.status for e in rig.seen(it.Outcome)][before:] == [it.Status.FULL, it.Status.MOOT]
             await asyncio.sleep(0.05)
@@ -63,7 +65,7 @@
 
     async def work() -> None:
         async with Rig(count=1) as rig:
-            held = holding(rig)
+            held = hold_requests(rig)
             _, writer = await rig.connect()
             writer.write(rig.ask(id="one") + b"noise\r\n")
             await rig.until(lambda: held)
@@ -80,7 +82,7 @@
 
     async def work() -> None:
         async with Rig(count=1) as rig:
-            held = holding(rig)
+            held = hold_requests(rig)
             reader, writer = await rig.connect()
             writer.write(rig.ask(id="one") + b"noise\r\n")
             await rig.until(lambda: held)
@@ -126,9 +128,9 @@
                 and rig.node.open_requests
                 and any(c.parser.started for c in front.clients)
             )
-            with at(front, front.now() + 60.0):
-                front._sweep()  # the first timer after it, before any socket is read
-            assert len(front.clients) == 3 and rig.node.open_requests, "nobody's time has run out"
+            with front_clock_at(front, front.now() + 60.0):
+                front._sweep()  # the first timer after the stall, before any socket is read
+            assert len(front.clients) == 3 and rig.node.open_requests, "no client has timed out"
             rig.appliances[0].behave = lambda _, w, words: w.write(served(b"for " + words[2]))
             half[1].write(whole[30:])
             idle[1].write(rig.ask(id="idle"))
@@ -146,7 +148,7 @@
             writer.write(whole[:10])
             await rig.until(lambda: any(c.parser.started for c in front.clients))
             client = next(iter(front.clients))
-            client.read_at -= clients.HALF_S  # nothing came for as long as may be
+            client.read_at -= clients.HALF_S  # idle for as long as allowed
             client.half_since = client.half_since - clients.HALF_S if client.half_since else None
             writer.write(whole[10:20])
             await rig.until(lambda: client.read_at > front.awake() - 1)
@@ -158,7 +160,9 @@
             await rig.until(lambda: client.parser.started)
             client.half_since = (client.half_since or 0.0) - clients.HALF_MOST_S
             client.swept(front.awake())
-            assert client.state is not clients.State.OPEN, "bytes that go on coming are no reason to wait for ever"
+            assert client.state is not clients.State.OPEN, (
+                "a steady trickle of bytes must not extend the wait for ever"
+            )
             assert await answer(reader) == b"-ERR half a command" and await answer(reader) == b""
 
     run(work)
--- a/tests/crossings/test_cold.py
+++ b/tests/crossings/test_cold.py
@@ -1,4 +1,4 @@
-"""A server that starts cold on RESP: judged by what it got, whatever the agent believes that it can bear."""
+"""A cold server on RESP, judged by the requests it received, not by the agent's estimate of its capacity."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 from otterquay import interface as it
 from otterquay.policy.agent import Agent
 from tests.crossings.forcing import run
-from tests.crossings.wiretape import WireTape, broken
+from tests.crossings.wiretape import RespTape, broken
 from tests.noderig import SETTINGS, Appliance, Rig, answer, right
 
 COLD = {"coldMs": 3000.0, "startCapacity": 0.4, "fallMultiple": 3.0, "fallMs": 500.0}
 WORK_S = 0.01
 
 
-async def day(rig: Rig) -> WireTape:
-    """Three servers in steady use; one of them starts anew and the others turn all away: most would go to it."""
-    tape, loop, served = WireTape(rig, WORK_S), asyncio.get_running_loop(), list[float]()
+async def day(rig: Rig) -> RespTape:
+    """Three servers in steady use; one restarts cold and the others refuse everything, so traffic moves to it."""
+    tape, loop, served = RespTape(rig, WORK_S), asyncio.get_running_loop(), list[float]()
 
     def got(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
-        tape.came(one, words)
+        tape.request_arrived(one, words)
         right(one, writer, words)
 
     def full(one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
-        tape.came(one, words)
+        tape.request_arrived(one, words)
         writer.write(b"-BUSY\r\n")
 
     for one in rig.appliances:
         one.behave = got
     reader, writer = await rig.connect()
 
-    async def use(least: int, least_s: float) -> None:
-        """So many requests, one after another, and for so long."""
+    async def use(min_requests: int, min_s: float) -> None:
+        """Send requests one after another, at least this many and for at least this long."""
         begun, count = loop.time(), 0
-        while count < least or loop.time() < begun + least_s:
+        while count < min_requests or loop.time() < begun + min_s:
             count += 1
             tape.asked(id := f"r{tape.now()}-{count}", "lobby-read")
             writer.write(rig.ask(id=id))
@@ -45,10 +45,10 @@
             await asyncio.sleep(0)
 
     await use(200, 3 * COLD["fallMs"] / 1e3)
-    span_s = COLD["fallMs"] / 1e3  # all bear what they bore in any such time, whatever the machine's pace
-    most = max(bisect_right(served, at + span_s) - i for i, at in enumerate(served))
+    span_s = COLD["fallMs"] / 1e3  # capacity: the most served in any such span, on this machine
+    max_served = max(bisect_right(served, at + span_s) - i for i, at in enumerate(served))
     rig.discovery.set("s-0", startedAtMs=rig.wall() * 1e3)
-    tape.started(rig.appliances[0], most / span_s * WORK_S / len(rig.appliances))
+    tape.started(rig.appliances[0], max_served / span_s * WORK_S / len(rig.appliances))
     lists = len(rig.seen(it.ServerList))
     await rig.until(lambda: len(rig.seen(it.ServerList)) > lists)
     for one in rig.appliances[1:]:
@@ -71,6 +71,6 @@
                 fall=f"{COLD['fallMs']}ms",
             )
             assert report.checked["cold"] == 1 and list(broken(report)) == ([] if guarded else ["cold"])
-            assert len(rig.appliances[0].got) > 10, "it was used all the same"
+            assert len(rig.appliances[0].got) > 10, "the cold server still got requests"
 
     run(work)
--- a/tests/crossings/test_drain.py
+++ b/tests/crossings/test_drain.py
@@ -1,4 +1,4 @@
-"""The planned end: what comes while the agent drains is answered, and nothing is left at the end."""
+"""Graceful shutdown: requests that arrive during the drain are answered, and nothing is left open at the end."""
 
 from __future__ import annotations
 
@@ -14,13 +14,20 @@
 from otterquay.node.agent import FLUSH_S, LINGER_S, end_within_s
 from otterquay.node.client import State
 from otterquay.node.front import SETTLED_S
-from tests.crossings.forcing import LOOPS, arrived, at, holding, run, warm
+from tests.crossings.forcing import (
+    LOOPS,
+    front_clock_at,
+    hold_requests,
+    open_idle_connections,
+    run,
+    wait_until_arrived,
+)
 from tests.noderig import CLASSES, Rig, answer, served
 
 
 async def draining(rig: Rig) -> tuple[Any, asyncio.StreamReader, asyncio.StreamWriter, asyncio.Future[None]]:
-    """An agent that drains with one request held: what its appliances keep, that client, and the end to come."""
-    held = holding(rig)
+    """Drain an agent with one open request; returns the held requests, the client and the pending shutdown."""
+    held = hold_requests(rig)
     reader, writer = await rig.connect()
     writer.write(rig.ask(id="one"))
     await rig.until(lambda: held)
@@ -48,9 +55,9 @@
             held, reader, writer, leaving = await draining(rig)
             rig.appliances[0].behave = lambda _, w, words: w.write(served(b"for " + words[2]))
             held[0][0].write(served(b"for one"))
-            writer.write(again := rig.ask(id="two"))  # in the turn of the answer
+            writer.write(again := rig.ask(id="two"))  # in the loop iteration of the answer
             assert await answer(reader) == b"for one"
-            if (got := await answer(reader)) == b"":  # closed under it: sent once more, as clients do
+            if (got := await answer(reader)) == b"":  # the connection was closed: send it again, as clients do
                 got = await rig.say(again)
             assert got == b"for two"
             await leaving
@@ -78,7 +85,7 @@
 def test_what_is_held_when_the_time_is_up_is_failed_and_given_up_before_the_end() -> None:
     async def work() -> None:
         async with Rig(count=2) as rig:
-            held = holding(rig)
+            held = hold_requests(rig)
             asked = [await rig.connect() for _ in range(3)]
             for number, (_, writer) in enumerate(asked):
                 writer.write(rig.ask(cls="race-entry" if number else "lobby-read", id=f"r{number}"))
@@ -89,8 +96,8 @@
             assert not rig.node.open_requests and not rig.node.front.ids and not rig.node.pool.open
             assert rig.node.counts["failed"] == 3 and len(rig.seen(it.Abandoned)) == 3
             assert {e.status for e in rig.seen(it.Outcome)} == {it.Status.CANCELLED}
-            assert sum(len(one.got) for one in rig.appliances) == 3, "closing begins no attempt"
-            assert not rig.node._agent.jobs, "nor does the module hold them"
+            assert sum(len(one.got) for one in rig.appliances) == 3, "closing starts no attempt"
+            assert not rig.node._agent.jobs, "and the module has forgotten the requests"
 
     run(work)
 
@@ -99,8 +106,8 @@
 def test_closing_begins_no_attempt_in_place_of_what_it_ends(loop: str) -> None:
     async def work() -> None:
         async with Rig(count=2) as rig:
-            before = await warm(rig)
-            held = holding(rig)
+            before = await open_idle_connections(rig)
+            held = hold_requests(rig)
             _, writer = await rig.connect()
             writer.write(rig.ask(id="held"))
             await rig.until(lambda: held)
@@ -120,8 +127,8 @@
             {**CLASSES[0], "name": f"c{i}", "deadlineMs": ms, "onTimeMs": ms / 2} for i, ms in enumerate(deadlines)
         ]
         async with Rig(count=0, requestClasses=classes) as rig:
-            kill_s = min(max(deadlines) / 1e3, 3.0) + 0.7  # the protocol page
-            assert end_within_s(rig.node.settings) + FLUSH_S + 2 * DRAIN_POLL_S <= kill_s, "and time to close"
+            kill_s = min(max(deadlines) / 1e3, 3.0) + 0.7  # time from SIGTERM to SIGKILL, by the protocol page
+            assert end_within_s(rig.node.settings) + FLUSH_S + 2 * DRAIN_POLL_S <= kill_s, "with time left to close"
             assert end_within_s(rig.node.settings) >= LINGER_S + min(max(deadlines) / 1e3, 3.0)
 
     run(work)
@@ -130,15 +137,15 @@
 def test_what_is_taken_after_sigterm_tells_the_time_that_is_left() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            held = holding(rig)
+            held = hold_requests(rig)
             leaving = asyncio.ensure_future(rig.node.leave())
             await asyncio.sleep(0)
             left_ms = (rig.node.drain_until - asyncio.get_running_loop().time()) * 1e3
             _, writer = await rig.connect()
             writer.write(rig.ask(id="late", d=6000))
             await rig.until(lambda: held)
-            told = dict(item.split(b"=") for item in rig.appliances[0].got[0][3].split(b","))
-            assert 0 < int(told[b"d"]) <= left_ms + 1 < 6000
+            options = dict(item.split(b"=") for item in rig.appliances[0].got[0][3].split(b","))
+            assert 0 < int(options[b"d"]) <= left_ms + 1 < 6000
             held[0][0].write(served(b"for late"))
             await leaving
 
@@ -169,17 +176,19 @@
     async def work() -> None:
         async with Rig(count=1) as rig:
             front, now = rig.node.front, rig.node.front.now()
-            with at(front, now):
+            with front_clock_at(front, now):
                 front.drain()
-                assert not front.drained(), "a client may be on its way with what it had written to a closed one"
-            with at(front, now + 0.2):
+                assert not front.drained(), (
+                    "a client may be reconnecting to send again what it wrote to a closed one"
+                )
+            with front_clock_at(front, now + 0.2):
                 assert front.drained()
-                came = await rig.connect()
+                late = await rig.connect()
                 await rig.until(lambda: front.clients)
-                came[1].close()
+                late[1].close()
                 await rig.until(lambda: not front.clients)
                 assert not front.drained()
-            with at(front, now + 0.4):
+            with front_clock_at(front, now + 0.4):
                 assert front.drained()
 
     run(work)
@@ -193,7 +202,7 @@
             client = next(iter(rig.node.front.clients))
             client.idle_since -= SETTLED_S
             plain.sendall(rig.ask(id="crosses"))
-            arrived(lambda: has_unread_data(client.transport))
+            wait_until_arrived(lambda: has_unread_data(client.transport))
             rig.node.front.drain()  # before the loop has read it
             plain.setblocking(False)
             got = await asyncio.get_running_loop().sock_recv(plain, 100)
@@ -233,7 +242,7 @@
             writer.write(rig.ask(id="fresh"))
             assert [await answer(reader), await answer(reader)] == [b"for fresh", b""]
             silent_one = await rig.connect()
-            assert await answer(silent_one[0]) == b"", "one that does not ask goes as well"
+            assert await answer(silent_one[0]) == b"", "a client that sends nothing is closed as well"
 
     run(work)
 
@@ -241,7 +250,7 @@
 def test_who_is_failed_at_the_end_of_a_drain_and_asks_again_at_once_is_refused_not_reset() -> None:
     async def work() -> None:
         async with Rig(count=1) as rig:
-            held = holding(rig)
+            held = hold_requests(rig)
             reader, writer = await rig.connect()
             writer.write(rig.ask(id="first"))
             await rig.until(lambda: held)
--- a/tests/crossings/test_drawn.py
+++ b/tests/crossings/test_drawn.py
@@ -1,6 +1,6 @@
-"""Drawn sequences of what may come, against one agent in service: what has to hold whatever the order.
+"""Random sequences of client, appliance and feed events against one agent, and the rules that hold in any order.
 
-`OTTERQUAY_DRAWS=2000 python -m pytest tests/crossings/test_drawn.py` draws more; a failure names its seed.
+`OTTERQUAY_DRAWS=2000 python -m pytest tests/crossings/test_drawn.py` runs more seeds; a failure names its seed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from otterquay.policy.agent import Agent
 from tests.crossings.audit import Audit
 from tests.crossings.forcing import run
-from tests.crossings.wiretape import WireTape, broken
+from tests.crossings.wiretape import RespTape, broken
 from tests.helpers import never_drains
 from tests.noderig import CLASSES, SETTINGS, Appliance, Rig, answer, served
 
@@ -34,36 +34,36 @@
 
 
 @dataclass
-class Talker:
-    """A client on a connection of its own."""
+class RandomClient:
+    """A client on its own connection."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     asked: list[bytes] = field(default_factory=list)
-    rest: bytes = b""  # of a command that has begun
-    stayed: bool = True
-    spoke_noise: bool = False
+    unsent: bytes = b""  # the rest of a command that was partly sent
+    connected: bool = True
+    sent_garbage: bool = False
     finals: asyncio.Task[list[bytes]] | None = None
 
     async def listen(self) -> list[bytes]:
-        """All final answers until the connection ends."""
+        """Return all final answers until the connection closes."""
         got = []
         while one := await answer(self.reader):
             got.append(one)
         return got
 
 
-class Drawn:
-    """One agent, its stand-ins and clients, and what a seed makes of them."""
+class RandomRun:
+    """One agent with its stand-ins and clients, driven by a seed."""
 
     def __init__(self, rig: Rig, other: Rig, seed: int, feeds: Sequence[int]) -> None:
         self.rig, self.other, self.rng, self.audit = rig, other, random.Random(seed), Audit(EFFECTS)
-        self.tape = WireTape(rig)
+        self.tape = RespTape(rig)
         self.tape.hook(other)
-        self.feeds = feeds  # what may come of discovery and platform
-        self.talkers: list[Talker] = []
+        self.feeds = feeds  # the kinds of feed events to choose from
+        self.talkers: list[RandomClient] = []
         self.late: list[tuple[list[bytes], asyncio.StreamWriter]] = []
-        # a second answer is told from the next one by the rest between them alone: where some come, none is short
+        # only the rest tells a surplus answer from the next one: seeds with surplus answers use a long rest
         self.twice = seed % 2
         rig.node.pool.rest_s = 60.0 * self.twice
         for one in rig.appliances:
@@ -71,7 +71,7 @@
 
     # --- appliances ---
     def behave(self, one: Appliance, writer: asyncio.StreamWriter, words: list[bytes]) -> None:
-        self.tape.came(one, words)
+        self.tape.request_arrived(one, words)
         value = served(b"for " + words[2])
         match self.rng.choices(
             ("good", "late", "busy", "error", "close", "twice", "part", "noise", "drop"),
@@ -105,16 +105,16 @@
             writer.write(value)
 
     def answer_late(self) -> None:
-        """Those that were kept get their answers, or half of them."""
+        """Answer the requests that were held."""
         late, self.late = self.late, []
         for words, writer in late:
             self.audit.answered(words, writer, served(b"for " + words[2]))
 
     # --- clients ---
     async def ask(self) -> None:
-        """One to three requests, whole, in one write, perhaps with a beginning of the next."""
-        one = await self._talker()
-        if one.rest:
+        """Send one to three complete requests in one write, perhaps with the beginning of the next."""
+        one = await self._random_client()
+        if one.unsent:
             return
         data = b""
         for _ in range(self.rng.randint(1, 3)):
@@ -122,52 +122,52 @@
         whole = self._request(one)
         if self.rng.random() < 0.3:
             cut = self.rng.randrange(1, len(whole))
-            data, one.rest = data + whole[:cut], whole[cut:]
+            data, one.unsent = data + whole[:cut], whole[cut:]
         else:
             one.asked.pop()
         one.writer.write(data)
 
-    def _request(self, one: Talker) -> bytes:
+    def _request(self, one: RandomClient) -> bytes:
         cls = self.rng.choice(("lobby-read", "queue-join", "race-entry"))
         id = f"r{len(self.talkers)}-{self.rng.getrandbits(40):x}"
         one.asked.append(id.encode())
-        self.tape.asked(id, cls)  # the last of a write may be whole later, or never: in the agent's favour
+        self.tape.asked(id, cls)  # the last may be completed later or never, which favours the agent
         return self.rig.ask(cls=cls, d=self.rng.choice((50, 300, 500)), id=id)
 
     async def finish(self) -> None:
-        """The rest of a command that has begun."""
+        """Send the rest of commands that were partly sent."""
         for one in self.talkers:
-            if one.rest and one.stayed:
-                one.writer.write(one.rest)
-                one.rest = ""  # type: ignore[assignment]
+            if one.unsent and one.connected:
+                one.writer.write(one.unsent)
+                one.unsent = ""  # type: ignore[assignment]
 
     async def leave(self) -> None:
-        """One client closes or resets."""
-        if here := [one for one in self.talkers if one.stayed]:
+        """Close or reset the connection of one client."""
+        if here := [one for one in self.talkers if one.connected]:
             one = self.rng.choice(here)
-            one.stayed = False
+            one.connected = False
             if self.rng.random() < 0.5 and not one.writer.is_closing():
                 one.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
             one.writer.close()
 
     async def spoil(self) -> None:
-        """A client writes what is no command: it gets an error or a close."""
-        one = await self._talker()
-        one.spoke_noise = True
+        """Send garbage from a client, which then gets an error or a close."""
+        one = await self._random_client()
+        one.sent_garbage = True
         one.writer.write(b"\x00noise\r\n")
 
-    async def _talker(self) -> Talker:
-        here = [one for one in self.talkers if one.stayed and not one.spoke_noise and not one.reader.at_eof()]
+    async def _random_client(self) -> RandomClient:
+        here = [one for one in self.talkers if one.connected and not one.sent_garbage and not one.reader.at_eof()]
         if here and self.rng.random() < 0.5:
             return self.rng.choice(here)
-        one = Talker(*await self.rig.connect())
+        one = RandomClient(*await self.rig.connect())
         one.finals = asyncio.ensure_future(one.listen())
         self.talkers.append(one)
         return one
 
     # --- feeds ---
     async def feed(self) -> None:
-        """Something of discovery or the platform."""
+        """Send one event of discovery or the platform."""
         rig, rng = self.rig, self.rng
         name = f"s-{rng.randrange(rig.count)}"
         match rng.choice(self.feeds):
@@ -178,24 +178,24 @@
             case 2:
                 rig.discovery.set(name, lifecycle="in_service", version_no=rng.choice((1, 2)), startedAtMs=10**12)
             case 3:
-                self.tape.lost("list")
+                self.tape.feeds_broken("list")
                 rig.discovery.spoil = [b'{"generation":']
                 rig.discovery.set(name)
             case 4:
                 rig.desk.tell(b"2 0 %b %.2f 5" % (rng.choice((b"testing", b"recalling")), rng.choice((0.0, 0.25))))
             case 5:
-                self.tape.lost("stage")
+                self.tape.feeds_broken("stage")
                 rig.desk.say(b"* noise\r\n")
             case 6:
-                self.tape.lost("list", "stage")
+                self.tape.feeds_broken("list", "stage")
                 for writer in rig.discovery.writers + rig.desk.writers:
                     writer.transport.abort()
             case 7:
-                self.tape.lost("list", "stage")
+                self.tape.feeds_broken("list", "stage")
                 rig.node.move(rng.choice((rig, self.other)).config(name="n0"))
 
     async def play(self) -> None:
-        """All steps, some turns of the loop apart; then the planned end."""
+        """Run all steps, some loop iterations apart, then a graceful shutdown."""
         steps = {
             "ask": self.ask,
             "finish": self.finish,
@@ -218,8 +218,8 @@
         await leaving
 
 
-def watched(monkeypatch: pytest.MonkeyPatch, rig: Rig, broken: list[str]) -> set[bytes]:
-    """No request is written for a client that has gone, nor by an agent that has closed; returns the ids taken."""
+def check_writes(monkeypatch: pytest.MonkeyPatch, rig: Rig, broken: list[str]) -> set[bytes]:
+    """Check that no request is sent for a client that has left, nor by a closed agent; returns the accepted ids."""
     write, take, taken = Pool._write, rig.node.take, set[bytes]()
 
     def noted(ask: ClientRequest, client: Requester) -> bool:
@@ -242,27 +242,27 @@
 
 
 @asynccontextmanager
-async def day(seed: int, feeds: Sequence[int] = range(8)) -> AsyncIterator[Drawn]:
-    """An agent and its stand-ins, before anything has come."""
+async def day(seed: int, feeds: Sequence[int] = range(8)) -> AsyncIterator[RandomRun]:
+    """An agent and its stand-ins, before any event."""
     rules = {**SETTINGS["rules"], "drainGraceMs": 300.0}
     async with Rig(count=3, seed=seed, requestClasses=SHORT, rules=rules) as rig, Rig(count=3) as other:
         other.discovery.entries, other.discovery.generation = rig.discovery.entries, 10**6
-        yield Drawn(rig, other, seed, feeds)
+        yield RandomRun(rig, other, seed, feeds)
 
 
 @pytest.mark.parametrize("seed", range(DRAWS))
 def test_whatever_comes_in_whatever_order(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         async with day(seed) as drawn:
-            taken = watched(monkeypatch, drawn.rig, drawn.audit.broken)
+            taken = check_writes(monkeypatch, drawn.rig, drawn.audit.broken)
             await drawn.play()
             for one in drawn.talkers:
-                if not one.stayed or one.spoke_noise or one.rest:
-                    one.writer.close()  # what it may still be owed is judged for those that stayed
+                if not one.connected or one.sent_garbage or one.unsent:
+                    one.writer.close()  # only clients that stayed connected must have all answers
                 assert one.finals
                 got = await one.finals
-                if not one.spoke_noise and not one.rest:
-                    drawn.audit.finals(one.asked, got, taken if one.stayed else set())
+                if not one.sent_garbage and not one.unsent:
+                    drawn.audit.check_answers(one.asked, got, taken if one.connected else set())
             node: Any = drawn.rig.node
             assert not drawn.audit.broken, f"seed {seed}: {drawn.audit.broken}"
             assert not (found := broken(drawn.tape.judge())), f"seed {seed}: {found}"
@@ -279,8 +279,8 @@
     run(work)
 
 
-def never_shut(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module knows no cap."""
+def disable_caps(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make the module ignore all caps."""
     monkeypatch.setattr(Agent, "_shut", lambda *_: False)
 
 
@@ -288,7 +288,7 @@
     ("guard_out", "feeds", "rule"),
     [
         (never_drains, (0, 1), "drains"),
-        (never_shut, (2, 2, 4), "exposure"),
+        (disable_caps, (2, 2, 4), "exposure"),
     ],
 )
 def test_with_a_guard_taken_out_some_drawn_day_shows_it(
@@ -305,9 +305,9 @@
             return rule in broken(drawn.tape.judge())
 
     async def work() -> None:
-        for seed in range(12):  # about nine of them show it
+        for seed in range(12):  # about nine of them violate the rule
             if await found(seed):
                 return
-        raise AssertionError(f"nobody saw that {rule} was broken")
+        raise AssertionError(f"no seed violated {rule}")
 
     run(work)
--- a/tests/crossings/test_feeds.py
+++ b/tests/crossings/test_feeds.py
@@ -1,4 +1,4 @@
-"""Discovery and platform: a reload at any time, lists that are slow, watches that fall silent."""
+"""Discovery and platform connections: reloads at any time, slow lists, and watches that stop responding."""
 
 from __future__ import annotations
 
@@ -101,13 +101,13 @@
 
 
 def test_a_watch_that_falls_silent_is_opened_anew_with_the_whole_list(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PATIENCE_S", 0.4)  # the first answer of a busy machine comes within it
+    monkeypatch.setattr(discovery, "PATIENCE_S", 0.4)  # long enough for the first answer on a busy machine
     monkeypatch.setattr(discovery, "WAIT_MS", 50)
 
     async def work() -> None:
         async with Rig(count=1) as rig:
             opened, lists = rig.discovery.opened, rig.discovery.asked.count("/api/targets")
-            # The stand-in says nothing when a wait ends. A connection counts before what it asks for has been read.
+            # the stand-in sends nothing when a wait ends, and counts a connection before it has read its request
             await rig.until(lambda: rig.discovery.asked.count("/api/targets") > lists + 2)
             assert rig.discovery.opened > opened + 2
             rig.discovery.set("s-0", lifecycle="terminating")
@@ -128,7 +128,7 @@
             rig.discovery.set("s-0")
             await rig.until(lambda: said)
             assert said == ["discovery_broken content over 1000 bytes"] and rig.node.list.entries == held
-            assert await rig.say(rig.ask(id="one")) == b"for one", "nobody else is disturbed"
+            assert await rig.say(rig.ask(id="one")) == b"for one", "requests are still served"
             await rig.until(lambda: rig.discovery.opened > opened)
 
     run(work)
--- a/tests/crossings/test_log.py
+++ b/tests/crossings/test_log.py
@@ -1,4 +1,4 @@
-"""Who reads the log stops reading, or never did: the agent goes on."""
+"""The agent keeps working when the reader of its log stops reading or never reads."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 def small_pipe() -> tuple[int, int]:
-    """A pipe that takes one page."""
+    """A pipe with a buffer of one page."""
     reading, writing = os.pipe()
     fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, SMALL_PIPE)
     return reading, writing
 
 
 def read(fd: int) -> list[dict[str, Any]]:
-    """All lines that a pipe holds."""
+    """Read all lines that are in a pipe."""
     os.set_blocking(fd, False)
     data = b""
     try:
@@ -64,7 +64,7 @@
                 host, port = ready[0]["listen"].split(":")
                 rig.address = (host, int(port))
                 client, writer = await rig.connect()
-                for i in range(120):  # each writes a line of its attempt
+                for i in range(120):  # each logs its attempt
                     writer.write(rig.ask(id=f"{i:016x}"))
                     assert await answer(client) == b"for %016x" % i
                 process.terminate()
@@ -88,7 +88,7 @@
         log = Lines(stream, lambda: now)
         for _ in range(10):
             log.info("x", text="y" * 1000)
-        for _ in range(more):  # a later second, in which still nobody reads
+        for _ in range(more):  # a later second, in which nothing is read either
             now += 1.0
             log.info("y")
         taken = len(read(reading))
--- a/tests/crossings/test_process.py
+++ b/tests/crossings/test_process.py
@@ -1,4 +1,4 @@
-"""The real process, `python -m otterquay.node`: signals at every stage of its life, and how it ends."""
+"""The process `python -m otterquay.node`: signals in every phase of its lifecycle, and its exit code."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class Process:
-    """One agent as a process of its own, between the parties of a rig; its log lines are kept."""
+    """An agent in its own process, connected to the stand-ins of a rig; keeps its log lines."""
 
     def __init__(self, file: Path, program: list[str]) -> None:
         self.file, self.program, self.said = file, program, list[dict[str, Any]]()
         self.raw: list[str] = []
 
     async def start(self) -> None:
-        """Start it; returns at once."""
+        """Start the process without waiting for it to be ready."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *self.program,
@@ -49,7 +49,7 @@
                 self.said.append(json.loads(line))
 
     async def heard(self, event: str, times: int = 1) -> dict[str, Any]:
-        """Wait for a log line of this event, the last of so many."""
+        """Wait until this event has been logged `times` times; returns the last of these lines."""
         async with asyncio.timeout(30):
             while len(lines := [line for line in self.said if line["event"] == event]) < times:
                 assert not self._reading.done(), f"it ended: {self.raw}"
@@ -57,20 +57,20 @@
         return lines[times - 1]
 
     async def ended(self) -> int:
-        """Its exit code, once it has ended; negative for a signal."""
+        """Wait for the process to end and return its exit code, negative for a signal."""
         async with asyncio.timeout(30):
             code = await self.process.wait()
             await self._reading
         return code
 
     def signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal to the process."""
         self.process.send_signal(number)
 
 
 @asynccontextmanager
 async def started(rig: Rig, code: str = "", ready: bool = True, **changes: Any) -> AsyncIterator[Process]:
-    """An agent beside the rig's own, told of the same parties; `code` is run in place of the module."""
+    """A second agent in a process, with the configuration of the rig's own; `code` replaces the module."""
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "config.json"
         file.write_bytes(rig.file(**changes))
@@ -98,7 +98,7 @@
             one.signal(signal.SIGTERM)
             await one.heard("agent_leaving")
             one.signal(signal.SIGTERM)
-            one.signal(signal.SIGHUP)  # a reload while it drains is taken and disturbs nothing
+            one.signal(signal.SIGHUP)  # a reload during the drain has no effect on it
             await one.heard("reloaded")
             held[0][0].write(served(b"for before"))
             assert [await answer(reader), await answer(reader)] == [b"for before", b""]
@@ -212,7 +212,7 @@
 
 
 def test_a_rolling_restart_under_load_leaves_no_request_without_an_answer() -> None:
-    """Three processes, restarted one after another while clients ask and connections to appliances are cut."""
+    """Restarts three processes in turn while clients send requests and appliance connections are cut."""
 
     async def work() -> None:
         async with Rig(count=3) as rig, started(rig) as a, started(rig) as b, started(rig) as c:
@@ -232,7 +232,7 @@
                         try:
                             reader, writer = await asyncio.open_connection(*places[place])
                         except OSError:
-                            continue  # down just now: clients go elsewhere
+                            continue  # restarting: the client tries the next one
                         writer.write(data)
                         got = await answer(reader)
                         writer.close()
@@ -253,7 +253,7 @@
             work = [asyncio.ensure_future(client(n)) for n in range(9)] + [asyncio.ensure_future(cuts())]
             for place, one in enumerate(processes):
                 before = sum(served_by)
-                await rig.until(lambda: sum(served_by) > before + 30)  # noqa: B023 - over within the turn
+                await rig.until(lambda: sum(served_by) > before + 30)  # noqa: B023 - used only within this iteration
                 one.signal(signal.SIGTERM)
                 assert await one.ended() == 0
                 one.file.write_bytes(rig.file(listen=":".join(places[place])))
--- a/tests/crossings/wiretape.py
+++ b/tests/crossings/wiretape.py
@@ -1,7 +1,7 @@
-"""The tape of an agent in service on RESP: what discovery, platform and clients wrote, what appliances got.
+"""Records what an agent on RESP was sent by discovery, platform and clients, and what its appliances received.
 
-The auditor of `otterquay.lab` judges it: drains, cold servers and exposure. All stand-ins and the agent share a
-loop, so that nothing between them is later than the longest time for which that loop stood still.
+The auditor of `otterquay.lab` judges the recording: drains, cold servers and exposure. All stand-ins and the agent
+share one event loop, so no delay between them exceeds that loop's longest stall.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 
 @dataclass
-class WireTape:
-    """Hung into a rig's stand-ins while its agent runs; `work_s` is booked for each request."""
+class RespTape:
+    """Hooks into a rig's stand-ins while its agent runs; each request counts as `work_s` of work."""
 
     rig: Rig
     work_s: float = 0.01
     tape: tp.Tape = field(default_factory=tp.Tape)
-    broke: dict[str, float] = field(default_factory=dict)  # since when the connection of "list" or "stage" is
-    _listed: dict[str, Any] = field(default_factory=dict)
+    broken_since: dict[str, float] = field(default_factory=dict)  # by feed, "list" or "stage"
+    _last_entries: dict[str, Any] = field(default_factory=dict)
     _ticker: asyncio.Task[None] | None = None
     stalled_s: float = 0.0
 
@@ -37,12 +37,12 @@
         self._ticker = asyncio.ensure_future(self._tick())
         self.tape.add(tp.AgentUp(self.now(), 0))
         self.hook(self.rig)
-        self.listed(list(self.rig.discovery.entries.values()), True)
-        self.stands(self.rig.desk.state, True)
+        self.list_sent(list(self.rig.discovery.entries.values()), True)
+        self.stage_sent(self.rig.desk.state, True)
 
     def hook(self, rig: Rig) -> None:
-        """What this rig's discovery and platform write goes to the same agent."""
-        rig.discovery.told, rig.desk.told = self.listed, self.stands
+        """Record what the discovery and platform of this rig send."""
+        rig.discovery.told, rig.desk.told = self.list_sent, self.stage_sent
 
     async def _tick(self) -> None:
         while True:
@@ -51,26 +51,26 @@
             self.stalled_s = max(self.stalled_s, self.now() - before - TICK_S)
 
     # --- feeds ---
-    def lost(self, *feeds: str) -> None:
-        """Connections of these feeds break about now: what is written may be lost until a new one is begun."""
+    def feeds_broken(self, *feeds: str) -> None:
+        """Note that the connections of these feeds break now: updates may be lost until they reconnect."""
         for feed in feeds:
-            self.broke.setdefault(feed, self.now())
+            self.broken_since.setdefault(feed, self.now())
 
-    def _again(self, feed: str) -> None:
-        if since := self.broke.pop(feed, None):
+    def _record_break(self, feed: str) -> None:
+        if since := self.broken_since.pop(feed, None):
             self.tape.add(tp.Severed(self.now(), [0], since, False, 0.0))
 
-    def listed(self, entries: list[dict[str, Any]], whole: bool) -> None:
-        """Discovery writes a list or changes."""
+    def list_sent(self, entries: list[dict[str, Any]], whole: bool) -> None:
+        """Record a list or a delta that discovery sends."""
         if whole:
-            self._again("list")
+            self._record_break("list")
             named = {entry["instanceId"] for entry in entries}
             entries = entries + [
-                {**entry, "lifecycle": "terminated"} for id, entry in self._listed.items() if id not in named
+                {**entry, "lifecycle": "terminated"} for id, entry in self._last_entries.items() if id not in named
             ]
-            self._listed = {}
+            self._last_entries = {}
         for entry in entries:
-            self._listed[entry["instanceId"]] = entry
+            self._last_entries[entry["instanceId"]] = entry
             self.tape.add(
                 tp.ToldServer(
                     self.now(),
@@ -78,14 +78,14 @@
                     self.number(entry),
                     STATES[entry["lifecycle"]],
                     entry["version_no"],
-                    self.life(entry),
+                    self.incarnation(entry),
                 )
             )
 
-    def stands(self, state: bytes, first: bool) -> None:
-        """The platform writes where the newest build stands, `first` on a connection or later."""
+    def stage_sent(self, state: bytes, first: bool) -> None:
+        """Record a stage that the platform sends, as the first message of a connection or later."""
         if first:
-            self._again("stage")
+            self._record_break("stage")
         told = read_state(state.split(b" "), len(SETTINGS["familyInfo"]["caps"]))
         phase: Any = {
             b"testing": "trial",
@@ -97,11 +97,11 @@
 
     # --- requests ---
     def asked(self, id: str, cls: str) -> None:
-        """A client writes the last byte of a request."""
+        """Record that a client sends the last byte of a request."""
         self.tape.add(tp.Asked(self.now(), id, id, 0, cls, "first", "", 1.0, self.now()))
 
-    def came(self, one: Appliance, words: list[bytes]) -> None:
-        """An appliance has got a request whole."""
+    def request_arrived(self, one: Appliance, words: list[bytes]) -> None:
+        """Record that an appliance has received a complete request."""
         entry = self.entry(one)
         self.tape.add(
             tp.Arrived(
@@ -109,7 +109,7 @@
                 words[2].decode(),
                 f"{self.now()}",
                 self.number(entry),
-                self.life(entry),
+                self.incarnation(entry),
                 entry["version_no"],
                 "north",
                 self.work_s,
@@ -117,33 +117,33 @@
         )
 
     def started(self, one: Appliance, capacity: float) -> None:
-        """An appliance has started cold, of so many core seconds a second once it is warm."""
+        """Record that an appliance has started cold; `capacity` in core seconds per second, once it is warm."""
         entry = self.entry(one)
         self.tape.add(
-            tp.Started(self.now(), self.number(entry), self.life(entry), entry["version_no"], capacity, True)
+            tp.Started(self.now(), self.number(entry), self.incarnation(entry), entry["version_no"], capacity, True)
         )
 
     def entry(self, one: Appliance) -> dict[str, Any]:
-        """What discovery holds of an appliance."""
+        """Return the discovery entry of an appliance."""
         return self.rig.discovery.entries[f"s-{self.rig.appliances.index(one)}"]
 
     @staticmethod
     def number(entry: dict[str, Any]) -> int:
-        """A server's number on the tape."""
+        """Return a server's number on the tape."""
         return 1 + int(entry["instanceId"][2:])
 
     @staticmethod
-    def life(entry: dict[str, Any]) -> int:
-        """Another for each start and each build of a server."""
+    def incarnation(entry: dict[str, Any]) -> int:
+        """Return a number that differs for each start and each build of a server."""
         return 1 + int(entry.get("startedAtMs", 0)) * 100 + int(entry["version_no"])
 
     # --- the verdict ---
     def judge(self, **rules: Any) -> Report:
-        """The three rules, with these figures in place of those of the rig."""
+        """Judge the tape by the three rules, with these figures instead of the rig's."""
         if self._ticker:
             self._ticker.cancel()
-        for feed in list(self.broke):
-            self._again(feed)
+        for feed in list(self.broken_since):
+            self._record_break(feed)
         self.tape.add(tp.Stalled(self.now(), self.stalled_s))
         info = SETTINGS["familyInfo"]
         stages = [
@@ -161,5 +161,5 @@
 
 
 def broken(report: Report) -> dict[str, list[str]]:
-    """What was broken of the rules that the tape tells of."""
+    """Return the violations of the rules that the tape covers."""
     return {rule: report.violations[rule] for rule in ("drains", "cold", "exposure") if report.violations[rule]}
