--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""An agent in this process between scripted appliances, a scripted list and desk, and raw client sockets."""
+"""A rig with an agent in the test process, scripted appliances, fleet list and release desk, and client sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def service(**blocks: dict[str, Any]) -> Service:
-    """The example's settings with fields of single blocks replaced."""
+    """Return the example settings with some fields replaced, given by block."""
     return parse_service(EXAMPLE.read_text(), "example", blocks)
 
 
@@ -33,16 +33,16 @@
 
 
 def answer_at_once(peer: Peer, request: HttpRequest) -> None:
-    """Answer at once."""
+    """Answer immediately."""
     peer.send(write_response(200, [(b"content-type", b"text/plain")], b"right\n"))
 
 
 def never_answer(peer: Peer, request: HttpRequest) -> None:
-    """Never answer."""
+    """Do not answer."""
 
 
 def answer_bytes(data: bytes, close: bool = False) -> Behave:
-    """Answer with these bytes, whatever they are."""
+    """Return a behaviour that answers with these bytes, and closes the connection if `close` is set."""
 
     def behave(peer: Peer, request: HttpRequest) -> None:
         peer.send(data)
@@ -65,25 +65,25 @@
 
 
 class EventWatcher:
-    """What both rigs look at: the events that the module got."""
+    """What both rigs share: access to the events that the module received."""
 
     events: list[it.Event]
 
     def seen(self, kind: type) -> list[Any]:
-        """Events of a kind that the module got."""
+        """Return the events of a type that the module received."""
         return [e for e in self.events if isinstance(e, kind)]
 
-    async def until(self, true: Callable[[], object]) -> None:
-        """Wait until something holds; the test fails by its own check when it never does."""
+    async def until(self, condition: Callable[[], object]) -> None:
+        """Wait until a condition holds; fails if it does not within a bounded number of polls."""
         for _ in range(2000):
-            if true():
+            if condition():
                 return
             await asyncio.sleep(0.005)
-        raise AssertionError("what was waited for did not come about")
+        raise AssertionError("the condition did not become true in time")
 
 
 class Rig(EventWatcher):
-    """Use as `async with`; one agent, `servers` appliances of build 1 in its zone."""
+    """An async context manager with one agent and `servers` appliances of build 1 in its zone."""
 
     def __init__(
         self,
@@ -98,7 +98,7 @@
         self.servers = [Server(i + 1) for i in range(servers)]
         self.disk, self.version, self.stage_number = disk, 1, 1
         self.build, self.cap, self.phase = 1, 1.0, "released"
-        self.list = EventSource("l", self._whole, lambda *_: None)
+        self.list = EventSource("l", self._full_list, lambda *_: None)
         self.desk = EventSource("d", self._stage, lambda *_: None, self._vote)
         self.votes: list[news.Vote] = []
         self.entries: dict[int, news.Entry] = {}
@@ -134,11 +134,11 @@
         self.events: list[it.Event] = []
         handle = self.runtime._agent.handle
 
-        def noted(now: float, event: it.Event) -> list[it.Action]:
+        def record_event(now: float, event: it.Event) -> list[it.Action]:
             self.events.append(event)
             return handle(now, event)
 
-        self.runtime._agent.handle = noted  # type: ignore[method-assign]
+        self.runtime._agent.handle = record_event  # type: ignore[method-assign]
         self.address = await self.runtime.start()
         if self.with_desk:
             await self.until(lambda: self.seen(it.ServerList) and self.seen(it.StageNews))
@@ -156,25 +156,25 @@
         await asyncio.sleep(0)
 
     # --- feeds ---
-    def _whole(self, agent: int, last: int | None) -> list[tuple[str, str, int]]:
+    def _full_list(self, agent: int, last: int | None) -> list[tuple[str, str, int]]:
         if last == self.version:
             return []
-        whole = news.FleetNews(self.version, list(self.entries.values()))
-        return [("full", msgspec.json.encode(whole).decode(), self.version)]
+        full = news.FleetNews(self.version, list(self.entries.values()))
+        return [("full", msgspec.json.encode(full).decode(), self.version)]
 
     def _stage(self, agent: int, last: int | None) -> list[tuple[str, str, int]]:
         stage = news.Stage(self.build, 0, self.phase, self.cap, 0.0)  # type: ignore[arg-type]
         return [("stage", msgspec.json.encode(stage).decode(), self.stage_number)]
 
     def change(self, entry: news.Entry, base: int | None = None) -> None:
-        """Publish a change of one entry."""
+        """Publish a delta with one entry."""
         before, self.version = self.version if base is None else base, self.version + 1
         self.entries[entry.server] = entry
-        told = news.FleetNews(self.version, [entry], before)
-        self.list.publish("delta", msgspec.json.encode(told).decode(), self.version)
+        delta = news.FleetNews(self.version, [entry], before)
+        self.list.publish("delta", msgspec.json.encode(delta).decode(), self.version)
 
     def stage(self, build: int, phase: str, cap: float, number: int | None = None) -> None:
-        """Publish where the newest build stands."""
+        """Publish the stage of the newest build."""
         self.build, self.phase, self.cap = build, phase, cap
         self.stage_number = self.stage_number + 1 if number is None else number
         self.desk.publish("stage", self._stage(0, None)[0][1], self.stage_number)
@@ -184,19 +184,19 @@
 
     # --- clients ---
     def ask(self, cls: str = "lobby-read", budget: int = 2000, **headers: str) -> bytes:
-        """The bytes of a request."""
-        named = {"otterquay-class": cls, "otterquay-tenant": "first-studio", "otterquay-budget-ms": str(budget)}
-        named.update({k.replace("_", "-"): v for k, v in headers.items()})
-        return write_request(b"POST", b"/x", [(k.encode(), v.encode()) for k, v in named.items()], b"hello")
+        """Encode a client request."""
+        fields = {"otterquay-class": cls, "otterquay-tenant": "first-studio", "otterquay-budget-ms": str(budget)}
+        fields.update({k.replace("_", "-"): v for k, v in headers.items()})
+        return write_request(b"POST", b"/x", [(k.encode(), v.encode()) for k, v in fields.items()], b"hello")
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """A raw connection to the agent."""
+        """Open a client connection to the agent."""
         reader, writer = await asyncio.open_connection(*self.address)
         self.writers.append(writer)
         return reader, writer
 
     async def answers(self, reader: asyncio.StreamReader, count: int = 1) -> list[HttpResponse]:
-        """The next answers on a connection."""
+        """Read the next answers on a connection."""
         parser, found = ResponseParser(), list[HttpResponse]()
         async with asyncio.timeout(20):
             while len(found) < count and (data := await reader.read(65536)):
@@ -204,17 +204,17 @@
         return found
 
     async def get(self, cls: str = "lobby-read", budget: int = 2000, **headers: str) -> HttpResponse:
-        """One request on a connection of its own."""
+        """Send one request on a new connection and return its answer."""
         reader, writer = await self.connect()
         writer.write(self.ask(cls, budget, **headers))
         return (await self.answers(reader))[0]
 
 
 def kind(answer: HttpResponse) -> str:
-    """served, refused or failed, as the answer says."""
+    """Return served, refused or failed, from the answer's header."""
     return answer.headers.get(b"otterquay-answer", b"none").decode()
 
 
 def run(work: Callable[[], Any]) -> None:
-    """Run a coroutine function to its end."""
+    """Run a coroutine function to completion."""
     asyncio.run(work())
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent on loopback sockets in the hard cases. No test rests on how long something takes."""
+"""The agent on loopback sockets in difficult cases. No test depends on how long a step takes."""
 
 from __future__ import annotations
 
@@ -121,7 +121,9 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             assert kind(await rig.get("race-entry")) == "served"
-            rig.servers[0].behave = answer_bytes(b"", close=True)  # read, then closed: it looks like a stale one
+            rig.servers[0].behave = answer_bytes(
+                b"", close=True
+            )  # read, then closed: looks like a stale connection
             answer = await rig.get("race-entry")
             assert kind(answer) == "failed" and len(rig.servers[0].got) == 2
             assert outcomes(rig) == [it.Status.OK, it.Status.RESET]
@@ -131,7 +133,7 @@
 
 @pytest.mark.parametrize("loop", [uvloop.new_event_loop, asyncio.new_event_loop])
 def test_a_connection_that_went_in_this_turn_loses_no_request(loop: Any) -> None:
-    """Under uvloop a write to it raises: requests were held and never answered."""
+    """Under uvloop, writing to a lost connection raises: requests stayed open and were never answered."""
 
     async def work() -> None:
         async with Rig(servers=1) as rig:
@@ -139,10 +141,10 @@
                 assert kind(await rig.get("race-entry")) == "served"
                 await rig.until(lambda: any(rig.runtime.pool.idle.values()))
                 idle = next(iter(rig.runtime.pool.idle.values()))
-                idle[-1].writer.transport.abort()  # gone, and in the same turn a request wants it
+                idle[-1].writer.transport.abort()  # lost in the loop iteration in which a request uses it
                 ended: list[FinalAnswer] = []
                 http = HttpRequest(b"POST", b"/x", {}, b"", True)
-                rig.runtime.take(ClientRequest(http, 2, 0, b"", 900.0, None, False), Stub(ended))
+                rig.runtime.take(ClientRequest(http, 2, 0, b"", 900.0, None, False), StubRequester(ended))
                 await rig.until(lambda e=ended: e)
                 assert ended[0].kind == "served"
             assert not rig.runtime.open_requests
@@ -151,8 +153,8 @@
         runner.run(work())
 
 
-class Stub:
-    """An asker that keeps its answers."""
+class StubRequester:
+    """A requester that collects its answers."""
 
     def __init__(self, answers: list[FinalAnswer]) -> None:
         self.number: int | None = None
@@ -176,7 +178,7 @@
             assert kind((await rig.answers(reader))[0]) == "failed"
             answer_at_once(peers[0], rig.servers[0].got[0])
             rig.servers[0].behave = answer_at_once
-            writer.write(rig.ask())  # the connection to the client is in step, the other one is gone
+            writer.write(rig.ask())  # the client's connection still works, the appliance's was closed
             assert kind((await rig.answers(reader))[0]) == "served"
             assert outcomes(rig) == [it.Status.TIMEOUT, it.Status.OK]
 
@@ -216,7 +218,7 @@
                 peer.send(one)
 
             rig.servers[0].behave = later
-            for _ in range(5):  # the surplus answer comes while the connection is idle
+            for _ in range(5):  # the surplus answer arrives while the connection is idle
                 assert (await rig.get()).body == b"first\n"
                 peers[-1].send(write_response(200, [], b"late\n"))
                 await rig.until(lambda: not rig.runtime.pool.open)
@@ -250,7 +252,7 @@
             assert (await rig.answers(reader))[0].status == 408
             reader, writer = await rig.connect()
             await rig.until(lambda: len(rig.runtime.front.clients) == 1)
-            for byte in rig.ask()[:30]:  # a byte now and then buys no more time
+            for byte in rig.ask()[:30]:  # single bytes do not extend the timeout
                 if not rig.runtime.front.clients:
                     break
                 writer.write(bytes([byte]))
@@ -303,16 +305,16 @@
                 writer.write(rig.ask())
             await rig.until(lambda: rig.seen(it.Request))
             assert kind(await rig.get()) == "served"
-            most = 0
+            max_buffered = 0
 
             def ended() -> bool:
-                nonlocal most
-                held = [c.writer.transport.get_write_buffer_size() for c in rig.runtime.front.clients]
-                most = max(most, *held, 0)
-                return len(held) == 1  # the one that read its answer stays
+                nonlocal max_buffered
+                buffered = [c.writer.transport.get_write_buffer_size() for c in rig.runtime.front.clients]
+                max_buffered = max(max_buffered, *buffered, 0)
+                return len(buffered) == 1  # only the client that read its answer remains
 
             await rig.until(ended)
-            assert 0 < most < 65536 + 2 * 61000, "at most the bound and one answer more is buffered"
+            assert 0 < max_buffered < 65536 + 2 * 61000, "at most the bound plus one answer is buffered"
             writer.transport.abort()
 
     run(work)
@@ -393,7 +395,7 @@
             assert await idle_reader.read() == b""
             with pytest.raises(OSError):
                 await asyncio.open_connection(*rig.address)
-            lines[0][1].write(rig.ask())  # behind one that is held: it comes too late
+            lines[0][1].write(rig.ask())  # queued behind an open request: too late to be accepted
             await asyncio.sleep(0.05)
             assert not stopping.done()
             for peer, request in peers:
@@ -425,7 +427,7 @@
                 answer = (await rig.answers(reader))[0]
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            assert kind(answer) == "refused", "no byte left, so repeating is harmless"
+            assert kind(answer) == "refused", "nothing was sent, so it is safe to repeat"
             assert set(outcomes(rig)[1:]) == {it.Status.CONNECT_FAILED}
             for server in rig.servers:
                 server.behave = answer_at_once
@@ -444,7 +446,7 @@
             await asyncio.sleep(0)
             import time
 
-            time.sleep(1.2)  # all clocks of the loop run out at once
+            time.sleep(1.2)  # all timers of the loop expire at once
             found = [(await rig.answers(reader))[0] for reader, _ in lines]
             assert len(found) == 30 and all(kind(a) in ("served", "refused", "failed") for a in found)
             assert sum(len(s.got) for s in rig.servers) <= 30
@@ -460,7 +462,7 @@
 
             def broken(now: float, event: it.Event) -> list[it.Action]:
                 if isinstance(event, it.Request) and event.cls == 2:
-                    raise KeyError("a fault in the decisions")
+                    raise KeyError("a bug in the decision module")
                 return handle(now, event)
 
             rig.runtime._agent.handle = broken  # type: ignore[method-assign]
@@ -479,7 +481,7 @@
             rig.change(msgspec.structs.replace(rig.entries[1], state="draining"))
             rig.stage(2, "trial", 0.28)
             await rig.until(lambda: len(rig.seen(it.StageNews)) > stages)
-            rig.stage(2, "trial", 1.0, number=1)  # an old event again, with a higher cap
+            rig.stage(2, "trial", 1.0, number=1)  # an outdated event with a higher cap
             rig.stage(2, "trial", 0.84, number=7)
             await rig.until(lambda: rig.seen(it.StageNews)[-1].cap == 0.84)
             assert [n.cap for n in rig.seen(it.StageNews)[stages:]] == [0.28, 0.84]
@@ -613,9 +615,11 @@
             assert {k: len(v) for k, v in restored.tries.items()} == tries
             assert restored._cap(1) is None and restored._cap(2) == restored.roll.stage_cap[0]
             assert {kind(await rig.get()) for _ in range(5)} == {"served"}
-            assert sum(len(v) for k, v in restored.tries.items() if k[0] == 2) == sum(tries.values()), "cap holds"
+            assert sum(len(v) for k, v in restored.tries.items() if k[0] == 2) == sum(tries.values()), (
+                "the cap holds"
+            )
 
-            rig.runtime.close()  # beside it: one that begins with nothing spends what was spent again
+            rig.runtime.close()  # for comparison: an agent without a store spends the allowance again
             rig.disk = FaultDisk()
             await rig.start_agent(rig.list.listener.address, "127.0.0.1:9")
             for _ in range(20):
@@ -681,7 +685,7 @@
             rig.desk.post = desk
             for verdict in (it.Verdict.ON, it.Verdict.BACK):
                 rig.runtime._execute(it.CastVote(1, 0, verdict))
-            assert rig.runtime._next_vote, "the second waits for the first"
+            assert rig.runtime._next_vote, "the second vote waits for the first"
             await rig.until(lambda: sum(n.answers_vote for n in rig.seen(it.StageNews)) == 2)
             assert [v.verdict for v in rig.votes] == ["on", "back"]
             assert [n.status for n in rig.seen(it.StageNews) if n.answers_vote] == [status, status]
@@ -726,7 +730,7 @@
             rig.runtime._execute(it.Cancel(1, 0))
             assert kind((await rig.answers(reader))[0]) == "failed"
             assert outcomes(rig) == [it.Status.CANCELLED]
-            rig.runtime._execute(it.Send(1, 1, 0.0))  # over: nothing may leave
+            rig.runtime._execute(it.Send(1, 1, 0.0))  # the request has ended: nothing is sent
             assert len(rig.servers[0].got) == 2
 
     run(work)
--- a/tests/test_replaced.py
+++ b/tests/test_replaced.py
@@ -1,4 +1,4 @@
-"""A server replaced under the same name: what was learnt of the old one never counts for the new one."""
+"""A server replaced under the same number: what was measured on the old process must not count for the new one."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 FULL, DELTA, CACHED = it.ListKind.FULL, it.ListKind.DELTA, it.ListKind.CACHED
 REPLACED = {
-    "restarted": entry(1, started=1e6 + 3065.0),  # after all that `worn` sends
+    "restarted": entry(1, started=1e6 + 3065.0),  # after all that `agent_with_bad_server` sends
     "another build": entry(1, build=2),
     "another build, cold": entry(1, build=2, started=1e6 + 3065.0),
 }
 
 
-def worn() -> Drive:
-    """An agent with one server of which it has learnt much, all of it bad, and an attempt out."""
+def agent_with_bad_server() -> Drive:
+    """Return an agent with one server, bad measurements of it, and an attempt in progress."""
     drive = Drive(settings(report_fields=(it.LoadField.INFLIGHT,), reports_in_answers=True), servers=1)
     drive.agent.gauge = 0
     for _ in range(6):
         drive.tick(500.0)
-        drive.now += 10.0  # what comes in the turn in which it is woken late is not booked
+        drive.now += 10.0  # outcomes are not recorded in the turn in which the agent wakes up late
         for send in sends(drive.ask()[1]):
             drive.give(it.Outcome(send.request, 1, 0, it.Status.ERROR, 900.0, True, (50.0,)))
     drive.ask(budget=3000.0)
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("how", [FULL, DELTA, CACHED])
 @pytest.mark.parametrize("what", REPLACED)
 def test_nothing_learnt_of_the_old_server_counts_for_the_new_one(what: str, how: it.ListKind) -> None:
-    drive = worn()
+    drive = agent_with_bad_server()
     drive.now += 10.0
     old = drive.agent.servers[1]
     assert old.ok < 0.7 and old.series and old.open and old.load == 50.0 and old.sent
@@ -57,7 +57,9 @@
     (send,) = (a for a in drive.all if isinstance(a, it.Send) and a.request == drive.ids)
     drive.give(it.Outcome(send.request, 1, 0, it.Status.ERROR, 800.0, True, (60.0,)))
     drive.tick(500.0)
-    assert not fresh.series and fresh.ok == 1.0 and fresh.load == 0.0, "the old one's end is the old one's"
+    assert not fresh.series and fresh.ok == 1.0 and fresh.load == 0.0, (
+        "the outcome of the old process counts for the old process"
+    )
 
 
 def test_what_was_sent_since_a_start_that_is_told_late_counts_against_it() -> None:
@@ -69,7 +71,7 @@
     drive.list(entry(1, started=drive.now - 100.0))
     fresh = drive.agent.servers[1]
     assert fresh.sent == [drive.now] and [leg[0] for leg in fresh.open] == [late.request]
-    assert fresh.seen == 0 and fresh.limit == 6.0, "of what we learnt nothing is kept"
+    assert fresh.seen == 0 and fresh.limit == 6.0, "no measurement is kept"
     drive.end(early)
     assert fresh.open
     drive.end(late)
@@ -83,11 +85,11 @@
     (send,) = sends(drive.ask()[1])
     drive.list(entry(1, build=2))
     drive.end(send, it.Status.ERROR, over=True)
-    assert drive.agent.fresh[:4] == [0.0, 0.0, 1.0, 1.0], "an error of the earlier build, none of the trial"
+    assert drive.agent.fresh[:4] == [0.0, 0.0, 1.0, 1.0], "an error of the earlier build, not of the trial"
 
 
 def test_a_complaint_on_an_answer_of_the_old_one_is_none_of_the_new_one() -> None:
-    """It names a server by number only: its age tells which one gave the answer."""
+    """A complaint names its server by number only; its age tells which process gave the answer."""
     drive = Drive(servers=2)
     drive.news(2, 0, it.Phase.TRIAL, 1.0)
     drive.list(entry(1, build=2, started=drive.now))
@@ -118,91 +120,99 @@
     drive.list(entry(9, started=cold.started_ms, state=it.ServerState.GONE))
     drive.tick(500.0)
     drive.list(cold)
-    assert drive.agent.servers[9].sent, "forgetting must not free it"
+    assert drive.agent.servers[9].sent, "its cold budget must stay spent while it is away"
 
 
-# --- the book of the list ---
-def told(book: FleetRegistry, version: int, now: float, *entries: news.Entry, base: int | None = -1) -> list[float]:
-    event = book.apply_event(
+# --- the fleet registry ---
+def apply_update(
+    registry: FleetRegistry, version: int, now: float, *entries: news.Entry, base: int | None = -1
+) -> list[float]:
+    event = registry.apply_event(
         f"l:{version}", news.FleetNews(version, list(entries), version - 1 if base == -1 else base), now
     )
     assert event is not None
     return [e.started_ms for e in event.entries]
 
 
-def server(life: int, age: float | None = None, state: str = "ready", build: int = 1, port: int = 1) -> news.Entry:
-    return news.Entry(1, "a", state, build, f"127.0.0.1:{port}", life, age_ms=age)  # type: ignore[arg-type]
+def server(
+    incarnation: int, age: float | None = None, state: str = "ready", build: int = 1, port: int = 1
+) -> news.Entry:
+    return news.Entry(1, "a", state, build, f"127.0.0.1:{port}", incarnation, age_ms=age)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("left", [False, True])
 def test_one_that_took_the_place_of_another_is_never_long_there(whole: bool, left: bool) -> None:
-    """The same build with no age told was taken for the same process, and for warm."""
-    book = FleetRegistry(["a"])
-    assert told(book, 1, 1e6, server(1), base=None) == [0.0]
+    """A replacement of the same build without an age must not count as the old process, nor as warm."""
+    registry = FleetRegistry(["a"])
+    assert apply_update(registry, 1, 1e6, server(1), base=None) == [0.0]
     if left:
-        told(book, 2, 2e6, *([] if whole else [server(1, state="gone")]), base=None if whole else -1)
+        apply_update(registry, 2, 2e6, *([] if whole else [server(1, state="gone")]), base=None if whole else -1)
     found = (
-        told(book, 3, 3e6, server(2), base=None if whole else 2 if left else 1)
+        apply_update(registry, 3, 3e6, server(2), base=None if whole else 2 if left else 1)
         if left or whole
-        else told(book, 2, 3e6, server(2))
+        else apply_update(registry, 2, 3e6, server(2))
     )
     assert found == [3e6]
-    assert told(book, 4, 4e6, server(2), base=None) == [3e6], "the same life, the same start"
+    assert apply_update(registry, 4, 4e6, server(2), base=None) == [3e6], "one incarnation keeps its start time"
 
 
 def test_a_life_has_one_start_however_and_how_often_it_is_told() -> None:
-    book = FleetRegistry(["a"])
-    assert told(book, 1, 1e6, server(1, 500.0), base=None) == [999500.0]
-    assert told(book, 2, 2e6, server(1, 900000.0)) == [999500.0]
-    assert told(book, 3, 2e6, server(1, state="gone")) == [999500.0]
-    assert told(book, 4, 2e6, server(1, 5.0)) == [999500.0]
-    assert book.apply_event("l:2", news.FleetNews(2, [server(9, 1.0)], 1), 3e6) is None, "late and out of order"
-    assert told(book, 5, 3e6, server(1)) == [999500.0]
+    registry = FleetRegistry(["a"])
+    assert apply_update(registry, 1, 1e6, server(1, 500.0), base=None) == [999500.0]
+    assert apply_update(registry, 2, 2e6, server(1, 900000.0)) == [999500.0]
+    assert apply_update(registry, 3, 2e6, server(1, state="gone")) == [999500.0]
+    assert apply_update(registry, 4, 2e6, server(1, 5.0)) == [999500.0]
+    assert registry.apply_event("l:2", news.FleetNews(2, [server(9, 1.0)], 1), 3e6) is None, (
+        "an outdated update is skipped"
+    )
+    assert apply_update(registry, 5, 3e6, server(1)) == [999500.0]
 
 
 def test_the_book_tells_whose_process_has_ended() -> None:
-    book = FleetRegistry(["a"])
-    told(book, 1, 0.0, server(1), base=None)
-    assert book.ended == []
-    told(book, 2, 0.0, server(1, state="draining"))
-    assert book.ended == [], "it finishes its work"
-    told(book, 3, 0.0, server(2, port=2))
-    assert book.ended == ["127.0.0.1:1"] and book.address(1) == "127.0.0.1:2"
-    told(book, 4, 0.0, server(3, port=2))
-    assert book.ended == ["127.0.0.1:2"], "the same address, another process"
-    told(book, 5, 0.0, base=None)
-    assert book.ended == ["127.0.0.1:2"] and book.address(1) is None
-
-
-class Entries(dict[int, news.Entry]):
-    """A list's entries that nobody may go through one by one."""
+    registry = FleetRegistry(["a"])
+    apply_update(registry, 1, 0.0, server(1), base=None)
+    assert registry.ended == []
+    apply_update(registry, 2, 0.0, server(1, state="draining"))
+    assert registry.ended == [], "a draining process has not ended"
+    apply_update(registry, 3, 0.0, server(2, port=2))
+    assert registry.ended == ["127.0.0.1:1"] and registry.address(1) == "127.0.0.1:2"
+    apply_update(registry, 4, 0.0, server(3, port=2))
+    assert registry.ended == ["127.0.0.1:2"], "the same address, another process"
+    apply_update(registry, 5, 0.0, base=None)
+    assert registry.ended == ["127.0.0.1:2"] and registry.address(1) is None
+
+
+class UniterableEntries(dict[int, news.Entry]):
+    """List entries that must not be iterated over."""
 
     def __iter__(self) -> Any:
-        raise AssertionError("all entries are looked at")
+        raise AssertionError("all entries are visited")
 
     keys = values = items = __iter__
 
 
 def test_a_change_looks_at_the_servers_that_it_names_and_at_no_other() -> None:
-    book = FleetRegistry(["a"])
-    told(book, 1, 0.0, *(msgspec.structs.replace(server(1, port=n), server=n) for n in range(1, 50)), base=None)
-    book.entries = Entries(book.entries)
-    told(
-        book,
+    registry = FleetRegistry(["a"])
+    apply_update(
+        registry, 1, 0.0, *(msgspec.structs.replace(server(1, port=n), server=n) for n in range(1, 50)), base=None
+    )
+    registry.entries = UniterableEntries(registry.entries)
+    apply_update(
+        registry,
         2,
         0.0,
         msgspec.structs.replace(server(2, port=7), server=7),
         msgspec.structs.replace(server(1), server=9, state="gone"),
     )
-    assert book.ended == ["127.0.0.1:7", "127.0.0.1:9"] and len(book.entries) == 48
+    assert registry.ended == ["127.0.0.1:7", "127.0.0.1:9"] and len(registry.entries) == 48
     with pytest.raises(AssertionError, match="all entries"):
-        told(book, 3, 0.0, base=None)
+        apply_update(registry, 3, 0.0, base=None)
 
 
 # --- the running agent ---
 def test_no_request_goes_out_on_a_connection_to_the_process_of_before() -> None:
-    """Idle connections close with the news; one that is busy carries its call to the end and no other."""
+    """Idle connections are closed when the process is replaced; a busy one finishes its call and is not reused."""
 
     async def work() -> None:
         async with Rig(servers=1) as rig:
@@ -254,7 +264,7 @@
 
 
 def test_the_store_keeps_the_build_that_answered_not_the_one_that_has_the_name_by_then() -> None:
-    """A key was written down for the build that the list named at the answer, or not at all if it named none."""
+    """Guards against storing a key for the build that the list names when the answer arrives, or not storing it."""
 
     async def work() -> None:
         config = service(rollout={"one_way": True, "free": 9})
