--- a/otterquay/agent/attempts.py
+++ b/otterquay/agent/attempts.py
@@ -62,11 +62,10 @@
         address, build = entry.address, entry.build
         tag, share_at_decision = self.ports.appliance_protocol.tag(request, attempt), self._allowed_share(build)
 
-        def begin() -> bytes | None:
+        def build_payload() -> bytes | None:
             """Return the request with its remaining time; None if the decision no longer holds."""
-            waited = (
-                attempt in open_request.calls
-            )  # for a connection; otherwise nothing has changed since the decision
+            # the call is registered only if it had to wait for a connection; otherwise nothing has changed yet
+            waited = attempt in open_request.calls
             if waited and (
                 client.has_left()
                 or self._allowed_share(build) < share_at_decision
@@ -95,7 +94,7 @@
         if self.ports.state_store and self.ports.desk.capped(build):
             self.ports.state_store.tried(build, open_request.request.cls)
         client.attempt(attempt + 1)
-        open_request.calls[attempt] = self.pool.call(address, tag, begin, until, done)
+        open_request.calls[attempt] = self.pool.call(address, tag, build_payload, until, done)
         self.log.debug("attempt", request=request, attempt=attempt, server=server, tag=tag)
 
     def _attempt_done(
--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -24,7 +24,7 @@
 CLASS_HEADER, TENANT_HEADER, IDEMPOTENCY_KEY_HEADER = b"otterquay-class", b"otterquay-tenant", b"idempotency-key"
 BUDGET_HEADER, WORK_HEADER, RETRY_HEADER = b"otterquay-budget-ms", b"otterquay-work-ms", b"otterquay-retry"
 ANSWER_HEADER, RETRY_AFTER_HEADER = b"otterquay-answer", b"otterquay-retry-after-ms"
-PLAIN = ((b"content-type", b"text/plain; charset=utf-8"),)
+PLAIN_TEXT_HEADERS = ((b"content-type", b"text/plain; charset=utf-8"),)
 READ_SIZE = 65536
 
 
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Reader:
+class RequestValidator:
     """Validates HTTP requests against the classes and tenants of the settings."""
 
     classes: dict[bytes, int]
@@ -50,8 +50,8 @@
     deadlines: list[float]
 
     @staticmethod
-    def of(service: Service) -> Reader:
-        return Reader(
+    def of(service: Service) -> RequestValidator:
+        return RequestValidator(
             {name.encode(): i for i, name in enumerate(service.class_)},
             {name.encode(): i for i, name in enumerate(service.tenant)},
             [c.deadline for c in service.class_.values()],
@@ -116,7 +116,7 @@
             return self.answer(refusal_answer("refused", self.keep_alive, answer.retry_after_ms))
         status, headers = answer.status, answer.headers
         if answer.kind == "failed":
-            status, headers = 504 if answer.overdue else 502, PLAIN
+            status, headers = 504 if answer.overdue else 502, PLAIN_TEXT_HEADERS
         self.answer(
             write_response(status, [(ANSWER_HEADER, answer.kind.encode()), *headers], answer.body, self.keep_alive)
         )
@@ -147,7 +147,7 @@
 
 @dataclass(slots=True)
 class Front:
-    """The listener."""
+    """The HTTP listener for clients."""
 
     service: Service
     taker: RequestHandler
@@ -158,10 +158,10 @@
     _sweeper: asyncio.TimerHandle | None = None
     _beater: asyncio.TimerHandle | None = None
     _standstill: StallDetector = field(init=False)
-    _reader: Reader = field(init=False)
+    _reader: RequestValidator = field(init=False)
 
     def __post_init__(self) -> None:
-        self._reader = Reader.of(self.service)
+        self._reader = RequestValidator.of(self.service)
 
     async def start(self) -> tuple[str, int]:
         """Listen; returns the bound host and port. Raises OSError if the address is not available."""
--- a/otterquay/agent/outcomes.py
+++ b/otterquay/agent/outcomes.py
@@ -17,19 +17,19 @@
 class End(Enum):
     """How an attempt ended, as seen at its socket."""
 
-    ANSWER = "an answer below 500"
-    SERVER_ERROR = "an answer of 500 or more"
-    TURNED_AWAY = "503 that says not seen"
-    GARBAGE = "bytes that are no answer, or one over the bound"
-    MISMATCH = "an answer to another attempt"
-    NO_CONNECTION = "no connection in time, refused, or no descriptor left"
-    CLOSED = "the connection closed or reset under a written request"
-    CLOSED_UNSENT = "the connection closed before the last byte of a request was written that runs only when whole"
-    OVERDUE = "no answer by the time given"
-    OVERDUE_CONNECTING = "no connection by the time given"
-    CALLED_OFF = "cancelled after it was written"
+    ANSWER = "an answer with a status below 500"
+    SERVER_ERROR = "an answer with a status of 500 or above"
+    TURNED_AWAY = "a 503 marked as not seen by the appliance"
+    GARBAGE = "a malformed answer, or one over the size bound"
+    MISMATCH = "an answer with the tag of another attempt"
+    NO_CONNECTION = "the connect timed out, was refused, or found no free descriptor"
+    CLOSED = "the connection was closed or reset after the request was written"
+    CLOSED_UNSENT = "the connection was closed before the last byte of a request that runs only once complete"
+    OVERDUE = "no answer within the time limit"
+    OVERDUE_CONNECTING = "no connection within the time limit"
+    CALLED_OFF = "cancelled after the request was written"
     CALLED_OFF_CONNECTING = "cancelled while connecting"
-    NOT_STARTED = "over, unknown or past its time before anything was done"
+    NOT_STARTED = "already ended, unknown or past its time limit before anything was sent"
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,23 +42,27 @@
 
 
 END_MEANINGS: dict[End, EndMeaning] = {
-    End.ANSWER: EndMeaning(Status.OK, False, "the appliance answered; below 500 the answer is the client's affair"),
-    End.SERVER_ERROR: EndMeaning(Status.ERROR, False, "it failed while or after working on it"),
-    End.TURNED_AWAY: EndMeaning(Status.FULL, True, "the appliance vouches that it did not look at it"),
-    End.GARBAGE: EndMeaning(Status.ERROR, False, "the request was read by something; what it did is unknown"),
-    End.MISMATCH: EndMeaning(Status.RESET, False, "the connection is out of step; our request was written on it"),
-    End.NO_CONNECTION: EndMeaning(Status.CONNECT_FAILED, True, "no byte of the request left"),
+    End.ANSWER: EndMeaning(
+        Status.OK, False, "the appliance answered; an answer below 500 is for the client to judge"
+    ),
+    End.SERVER_ERROR: EndMeaning(Status.ERROR, False, "the appliance failed, possibly after running the request"),
+    End.TURNED_AWAY: EndMeaning(Status.FULL, True, "the appliance states that it did not start the request"),
+    End.GARBAGE: EndMeaning(Status.ERROR, False, "something read the request; whether it ran is unknown"),
+    End.MISMATCH: EndMeaning(
+        Status.RESET, False, "answers on the connection are out of order, and the request was written to it"
+    ),
+    End.NO_CONNECTION: EndMeaning(Status.CONNECT_FAILED, True, "no byte of the request was sent"),
     End.CLOSED: EndMeaning(
         Status.RESET,
         False,
         "a stale keep-alive connection looks the same as one whose "
-        "appliance read the request and died: nothing is proved",
+        "appliance read the request and crashed, so nothing is proved",
     ),
-    End.CLOSED_UNSENT: EndMeaning(Status.CONNECT_FAILED, True, "an appliance begins only what it has whole"),
+    End.CLOSED_UNSENT: EndMeaning(Status.CONNECT_FAILED, True, "an appliance runs only complete requests"),
     End.OVERDUE: EndMeaning(Status.TIMEOUT, False, "it may have run or may still run"),
-    End.OVERDUE_CONNECTING: EndMeaning(Status.CONNECT_FAILED, True, "the request did not leave whole"),
-    End.CALLED_OFF: EndMeaning(Status.CANCELLED, False, "closing the connection may or may not have stopped it"),
-    End.CALLED_OFF_CONNECTING: EndMeaning(Status.MOOT, True, "the request did not leave whole"),
+    End.OVERDUE_CONNECTING: EndMeaning(Status.CONNECT_FAILED, True, "the request was not sent completely"),
+    End.CALLED_OFF: EndMeaning(Status.CANCELLED, False, "closing the connection may not have stopped it"),
+    End.CALLED_OFF_CONNECTING: EndMeaning(Status.MOOT, True, "the request was not sent completely"),
     End.NOT_STARTED: EndMeaning(Status.MOOT, True, "nothing was sent"),
 }
 
--- a/otterquay/agent/state_store.py
+++ b/otterquay/agent/state_store.py
@@ -108,8 +108,8 @@
         if self._store.failed:
             return
         batch = list(islice(self._store.scan(ANSWERED, first), CLEAR_BATCH_KEYS))
-        if gone := [Delete(ANSWERED, key) for key, value in batch if int(value) <= build]:
-            self._store.submit(gone)
+        if deletes := [Delete(ANSWERED, key) for key, value in batch if int(value) <= build]:
+            self._store.submit(deletes)
         if len(batch) == CLEAR_BATCH_KEYS:
             asyncio.get_running_loop().call_soon(self._clear, build, batch[-1][0] + b"\0")
 
--- a/tests/crossings/test_clients.py
+++ b/tests/crossings/test_clients.py
@@ -28,9 +28,8 @@
             writer.write(rig.ask(id="left", d=6000))
             await rig.until(lambda: rig.node.pool.connecting)
             writer.close()
-            await rig.until(
-                lambda: rig.seen(it.Outcome) and not rig.node.pool.connecting
-            )  # the connect ends one loop iteration later
+            # the connect ends one loop iteration after the outcome
+            await rig.until(lambda: rig.seen(it.Outcome) and not rig.node.pool.connecting)
             assert [e.status for e in rig.seen(it.Outcome)] == [it.Status.MOOT] and len(rig.seen(it.Abandoned)) == 1
             assert not rig.node.open_requests and not rig.node.pool.open
             filler.close()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -121,9 +121,8 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             assert kind(await rig.get("race-entry")) == "served"
-            rig.servers[0].behave = answer_bytes(
-                b"", close=True
-            )  # read, then closed: looks like a stale connection
+            # the appliance reads the request, then closes, which looks like a stale connection
+            rig.servers[0].behave = answer_bytes(b"", close=True)
             answer = await rig.get("race-entry")
             assert kind(answer) == "failed" and len(rig.servers[0].got) == 2
             assert outcomes(rig) == [it.Status.OK, it.Status.RESET]
