--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -265,9 +265,8 @@
                 self.log.info("request_refused", status=error.status, reason=error.reason)
                 client.answer(plain_answer(error.status, error.reason, client.keep_alive))
                 continue
-            if (
-                waited := (asyncio.get_running_loop().time() - arrived) * 1e3
-            ) > 1.0:  # the wait counts against its budget
+            # the time that the request has waited counts against its budget
+            if (waited := (asyncio.get_running_loop().time() - arrived) * 1e3) > 1.0:
                 client_request = replace(client_request, budget_ms=max(client_request.budget_ms - waited, 0.0))
             if self.stopping or not self.taker.take(client_request, client):
                 client.answer(refusal_answer("nothing more is taken", client.keep_alive))
--- a/tests/crossings/test_process.py
+++ b/tests/crossings/test_process.py
@@ -27,7 +27,7 @@
     """An agent in its own process, connected to the stand-ins of a rig; keeps its log lines."""
 
     def __init__(self, file: Path, program: list[str]) -> None:
-        self.file, self.program, self.said = file, program, list[dict[str, Any]]()
+        self.file, self.program, self.log_lines = file, program, list[dict[str, Any]]()
         self.raw: list[str] = []
 
     async def start(self) -> None:
@@ -46,12 +46,12 @@
         async for line in self.process.stderr:
             self.raw.append(line.decode())
             if line.startswith(b"{"):
-                self.said.append(json.loads(line))
+                self.log_lines.append(json.loads(line))
 
-    async def heard(self, event: str, times: int = 1) -> dict[str, Any]:
+    async def wait_for_log(self, event: str, times: int = 1) -> dict[str, Any]:
         """Wait until this event has been logged `times` times; returns the last of these lines."""
         async with asyncio.timeout(30):
-            while len(lines := [line for line in self.said if line["event"] == event]) < times:
+            while len(lines := [line for line in self.log_lines if line["event"] == event]) < times:
                 assert not self._reading.done(), f"it ended: {self.raw}"
                 await asyncio.sleep(0.005)
         return lines[times - 1]
@@ -78,7 +78,7 @@
         await one.start()
         try:
             if ready:
-                host, port = (await one.heard(READY))["listen"].split(":")
+                host, port = (await one.wait_for_log(READY))["listen"].split(":")
                 rig.address = (host, int(port))
             yield one
         finally:
@@ -96,10 +96,10 @@
             writer.write(rig.ask(id="before"))
             await rig.until(lambda: held)
             one.signal(signal.SIGTERM)
-            await one.heard("agent_leaving")
+            await one.wait_for_log("agent_leaving")
             one.signal(signal.SIGTERM)
             one.signal(signal.SIGHUP)  # a reload during the drain has no effect on it
-            await one.heard("reloaded")
+            await one.wait_for_log("reloaded")
             held[0][0].write(served(b"for before"))
             assert [await answer(reader), await answer(reader)] == [b"for before", b""]
             assert await one.ended() == 0 and not [line for line in one.raw if "Traceback" in line]
@@ -117,7 +117,7 @@
             one.signal(signal.SIGTERM)
             assert [await answer(reader), await answer(reader)] == [b"-ERR the agent ends", b""]
             assert await one.ended() == 0
-            assert (await one.heard("agent_leaving"))["within_s"] < 3.7
+            assert (await one.wait_for_log("agent_leaving"))["within_s"] < 3.7
 
     run(work)
 
@@ -130,7 +130,7 @@
         code = EARLY + "os.kill(os.getpid(), signal.SIGTERM)\nsys.exit(program.main())"
         async with Rig(count=1) as rig, started(rig, code, ready=False) as one:
             assert await one.ended() == 0
-            assert [line["event"] for line in one.said] == ["ended_before_start"]
+            assert [line["event"] for line in one.log_lines] == ["ended_before_start"]
 
     run(work)
 
@@ -139,7 +139,7 @@
     async def work() -> None:
         code = EARLY + "os.kill(os.getpid(), signal.SIGHUP)\nsys.exit(program.main())"
         async with Rig(count=1) as rig, started(rig, code) as one:
-            await one.heard("reloaded")
+            await one.wait_for_log("reloaded")
             assert await rig.say(rig.ask(id="served")) == b"for served"
             one.signal(signal.SIGTERM)
             assert await one.ended() == 0
@@ -165,15 +165,15 @@
             for times, bad in enumerate([good[: len(good) // 2], b"", b"[]", b'{"name": 3}', b"\xff\xfe"], 1):
                 one.file.write_bytes(bad)
                 one.signal(signal.SIGHUP)
-                await one.heard("reload_refused", times)
+                await one.wait_for_log("reload_refused", times)
                 assert await rig.say(rig.ask(id=f"old-{times}")) == b"for old-%d" % times
             one.file.unlink()
             one.signal(signal.SIGHUP)
-            assert "No such file" in (await one.heard("reload_refused", 6))["reason"]
+            assert "No such file" in (await one.wait_for_log("reload_refused", 6))["reason"]
             one.file.write_bytes(good)
             lists = other.discovery.opened
             one.signal(signal.SIGHUP)
-            await one.heard("reloaded")
+            await one.wait_for_log("reloaded")
             await rig.until(lambda: other.discovery.opened > lists)
             one.signal(signal.SIGTERM)
             assert await one.ended() == 0
@@ -217,7 +217,7 @@
     async def work() -> None:
         async with Rig(count=3) as rig, started(rig) as a, started(rig) as b, started(rig) as c:
             processes = [a, b, c]
-            places = [(await one.heard(READY))["listen"].split(":") for one in processes]
+            places = [(await one.wait_for_log(READY))["listen"].split(":") for one in processes]
             counts = {"asked": 0, "answered": 0, "refused": 0, "unanswered": 0}
             served_by = [0] * 3
             going = True
@@ -257,9 +257,9 @@
                 one.signal(signal.SIGTERM)
                 assert await one.ended() == 0
                 one.file.write_bytes(rig.file(listen=":".join(places[place])))
-                one.said.clear()
+                one.log_lines.clear()
                 await one.start()
-                await one.heard(READY)
+                await one.wait_for_log(READY)
                 served_by[place] = 0
             await rig.until(lambda: min(served_by) > 10)
             going = False
