--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -1,7 +1,7 @@
-"""The side towards clients: an HTTP/1.1 listener that hands whole requests on and writes their final answers.
+"""The client side: an HTTP/1.1 listener that passes complete requests on and writes their final answers.
 
-It answers by itself only what never becomes a request: malformed or oversized input, unknown names, more than
-its bounds. Everything else gets exactly one answer, from the module.
+It answers only what does not become a request: malformed or oversized input, unknown classes or tenants, and input
+over its bounds. Every other request gets exactly one answer, which the decision module determines.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 from dataclasses import dataclass, field, replace
 
 from otterquay.addresses import split_address
-from otterquay.agent.ports import Ask, Final, Taker
+from otterquay.agent.ports import ClientRequest, FinalAnswer, RequestHandler
 from otterquay.agent.sockets import peer_closed
-from otterquay.agent.standstill import BEAT_S, Standstill
+from otterquay.agent.stall_detector import HEARTBEAT_S, StallDetector
 from otterquay.agent.write_stall import WriteStall
 from otterquay.config.schema import Service
 from otterquay.logs import Logger
 from otterquay.protocol.http import HttpRequest, ProtocolError, RequestParser, write_response
 
-CLASS, TENANT, KEY = b"otterquay-class", b"otterquay-tenant", b"idempotency-key"
-BUDGET, WORK, RETRY = b"otterquay-budget-ms", b"otterquay-work-ms", b"otterquay-retry"
-ANSWER, RETRY_AFTER = b"otterquay-answer", b"otterquay-retry-after-ms"
-PLAIN = ((b"content-type", b"text/plain; charset=utf-8"),)
+CLASS_HEADER, TENANT_HEADER, IDEMPOTENCY_KEY_HEADER = b"otterquay-class", b"otterquay-tenant", b"idempotency-key"
+BUDGET_HEADER, WORK_HEADER, RETRY_HEADER = b"otterquay-budget-ms", b"otterquay-work-ms", b"otterquay-retry"
+ANSWER_HEADER, RETRY_AFTER_HEADER = b"otterquay-answer", b"otterquay-retry-after-ms"
+PLAIN_TEXT_HEADERS = ((b"content-type", b"text/plain; charset=utf-8"),)
 READ_SIZE = 65536
 
 
-def _number(headers: dict[bytes, bytes], name: bytes) -> float | None:
+def _milliseconds(headers: dict[bytes, bytes], name: bytes) -> float | None:
     text = headers.get(name)
     if text is None:
         return None
@@ -42,64 +42,66 @@
 
 
 @dataclass(slots=True)
-class Reader:
-    """Turns HTTP requests into asks by the names that the settings give."""
+class RequestValidator:
+    """Validates HTTP requests against the classes and tenants of the settings."""
 
     classes: dict[bytes, int]
     tenants: dict[bytes, int]
     deadlines: list[float]
 
     @staticmethod
-    def of(service: Service) -> Reader:
-        return Reader(
+    def of(service: Service) -> RequestValidator:
+        return RequestValidator(
             {name.encode(): i for i, name in enumerate(service.class_)},
             {name.encode(): i for i, name in enumerate(service.tenant)},
             [c.deadline for c in service.class_.values()],
         )
 
-    def read(self, http: HttpRequest) -> Ask:
-        """The ask in a request; ProtocolError names the header at fault and what it may be."""
+    def read(self, http: HttpRequest) -> ClientRequest:
+        """Return the client request in an HTTP request; ProtocolError names a bad header and its allowed values."""
         headers = http.headers
-        cls = self.classes.get(headers.get(CLASS, b""))
+        cls = self.classes.get(headers.get(CLASS_HEADER, b""))
         if cls is None:
             raise ProtocolError(400, f"otterquay-class: one of {b', '.join(self.classes).decode()}")
-        tenant = self.tenants.get(headers.get(TENANT, b""), None if self.tenants else 0)
+        tenant = self.tenants.get(headers.get(TENANT_HEADER, b""), None if self.tenants else 0)
         if tenant is None:
             raise ProtocolError(400, f"otterquay-tenant: one of {b', '.join(self.tenants).decode()}")
-        budget = _number(headers, BUDGET)
+        budget = _milliseconds(headers, BUDGET_HEADER)
         budget = self.deadlines[cls] if budget is None else min(budget, self.deadlines[cls])
-        key = headers.get(KEY, b"")
+        key = headers.get(IDEMPOTENCY_KEY_HEADER, b"")
         if len(key) > 255:
             raise ProtocolError(400, "idempotency-key: at most 255 bytes")
-        return Ask(http, cls, tenant, key, budget, _number(headers, WORK), headers.get(RETRY) == b"1")
+        return ClientRequest(
+            http, cls, tenant, key, budget, _milliseconds(headers, WORK_HEADER), headers.get(RETRY_HEADER) == b"1"
+        )
 
 
-def plain(status: int, text: str, keep_alive: bool, *extra: tuple[bytes, bytes]) -> bytes:
-    """An answer of ours with one line of text."""
+def plain_answer(status: int, text: str, keep_alive: bool, *extra: tuple[bytes, bytes]) -> bytes:
+    """Encode an answer of the agent itself, with one line of text."""
     return write_response(
         status, [(b"content-type", b"text/plain; charset=utf-8"), *extra], text.encode() + b"\n", keep_alive
     )
 
 
-def refusal(text: str, keep_alive: bool, retry_after_ms: float = 1000.0) -> bytes:
-    """503: not taken, and repeating is harmless (RFC 9110 section 10.2.3 counts in whole seconds)."""
-    return plain(
+def refusal_answer(text: str, keep_alive: bool, retry_after_ms: float = 1000.0) -> bytes:
+    """Encode a 503: not accepted, safe to repeat (RFC 9110 section 10.2.3: whole seconds in `retry-after`)."""
+    return plain_answer(
         503,
         text,
         keep_alive,
-        (ANSWER, b"refused"),
+        (ANSWER_HEADER, b"refused"),
         (b"retry-after", b"%d" % math.ceil(retry_after_ms / 1e3)),
-        (RETRY_AFTER, b"%d" % retry_after_ms),
+        (RETRY_AFTER_HEADER, b"%d" % retry_after_ms),
     )
 
 
 @dataclass(slots=True, eq=False)
 class Client:
-    """One client connection; requests on it are taken one at a time, in order. Times are seconds."""
+    """One client connection; its requests are processed one at a time, in order. Times are seconds."""
 
     writer: asyncio.StreamWriter
-    go_on: Callable[[Client], None]
-    waiting: deque[tuple[HttpRequest, float]] = field(default_factory=deque)  # and when it may have come
+    process_waiting: Callable[[Client], None]
+    waiting: deque[tuple[HttpRequest, float]] = field(default_factory=deque)  # with its earliest arrival time
     number: int | None = None
     keep_alive: bool = True
     idle_since: float = 0.0
@@ -108,33 +110,33 @@
     resuming: asyncio.Task[None] | None = None
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def final(self, answer: Final) -> None:
-        """Write the final answer in HTTP's words."""
+    def final(self, answer: FinalAnswer) -> None:
+        """Write the final answer as an HTTP response."""
         if answer.kind == "refused":
-            return self.answer(refusal("refused", self.keep_alive, answer.retry_after_ms))
+            return self.answer(refusal_answer("refused", self.keep_alive, answer.retry_after_ms))
         status, headers = answer.status, answer.headers
         if answer.kind == "failed":
-            status, headers = 504 if answer.overdue else 502, PLAIN
+            status, headers = 504 if answer.overdue else 502, PLAIN_TEXT_HEADERS
         self.answer(
-            write_response(status, [(ANSWER, answer.kind.encode()), *headers], answer.body, self.keep_alive)
+            write_response(status, [(ANSWER_HEADER, answer.kind.encode()), *headers], answer.body, self.keep_alive)
         )
 
     def attempt(self, count: int) -> None:
-        """HTTP has no word for it that all clients bear."""
+        """Not reported to HTTP clients: not all of them accept an informational response."""
 
     def settled(self) -> None:
-        """The next request on this connection may go."""
+        """Process the next request on this connection."""
         if self.waiting:
-            self.go_on(self)
+            self.process_waiting(self)
 
-    def left(self) -> bool:
-        """Whether its close lies unread at the socket."""
+    def has_left(self) -> bool:
+        """Whether the client has closed the connection, even if that is not read yet."""
         return peer_closed(self.writer.transport)
 
     def answer(self, data: bytes) -> None:
-        """Write the final answer to the request that is out."""
+        """Write the final answer to the current request."""
         self.number = None
-        if not self.writer.is_closing():  # it may have gone in this turn; not every loop takes such a write
+        if not self.writer.is_closing():  # lost in this loop iteration; uvloop raises on such a write
             self.writer.write(data)
         self.write_stall.written += len(data)
         if not self.keep_alive:
@@ -145,34 +147,34 @@
 
 @dataclass(slots=True)
 class Front:
-    """The listener."""
+    """The HTTP listener for clients."""
 
     service: Service
-    taker: Taker
+    taker: RequestHandler
     log: Logger
     clients: set[Client] = field(default_factory=set)
     stopping: bool = False
     _server: asyncio.Server | None = None
     _sweeper: asyncio.TimerHandle | None = None
     _beater: asyncio.TimerHandle | None = None
-    _standstill: Standstill = field(init=False)
-    _reader: Reader = field(init=False)
+    _standstill: StallDetector = field(init=False)
+    _reader: RequestValidator = field(init=False)
 
     def __post_init__(self) -> None:
-        self._reader = Reader.of(self.service)
+        self._reader = RequestValidator.of(self.service)
 
     async def start(self) -> tuple[str, int]:
-        """Listen; returns host and port bound. OSError when the address cannot be had."""
+        """Listen; returns the bound host and port. Raises OSError if the address is not available."""
         host, port = split_address(self.service.agent.listen)
         self._server = await asyncio.start_server(self._serve, host, port, backlog=1024)
         name = self._server.sockets[0].getsockname()
-        self._standstill = Standstill(asyncio.get_running_loop().time())
+        self._standstill = StallDetector(asyncio.get_running_loop().time())
         self._beat()
         self._sweep()
         return str(name[0]), int(name[1])
 
     def drain(self) -> None:
-        """Take no new connection; those that are idle close, others after their answer."""
+        """Accept no new connections; close the idle ones now, the others after their answers."""
         self.stopping = True
         if self._server:
             self._server.close()
@@ -181,11 +183,11 @@
                 client.writer.close()
 
     def drained(self) -> bool:
-        """Whoever has its answer is not waited for."""
+        """Clients that have their answers are not waited for."""
         return True
 
     def close(self) -> None:
-        """Close all that is still open."""
+        """Close all open connections."""
         self.drain()
         for timer in (self._sweeper, self._beater):
             if timer:
@@ -195,26 +197,26 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         bounds = self.service.front
-        client = Client(writer, self.go_on, idle_since=asyncio.get_running_loop().time())
+        client = Client(writer, self.process_waiting, idle_since=asyncio.get_running_loop().time())
         if len(self.clients) >= bounds.max_connections or self.stopping:
             self.log.warning("connection_refused", open=len(self.clients), stopping=self.stopping)
             client.keep_alive = False
-            return client.answer(refusal("no more connections here", False))
+            return client.answer(refusal_answer("no more connections here", False))
         self.clients.add(client)
         writer.transport.set_write_buffer_limits(high=bounds.max_body)
         try:
-            await self._converse(reader, client)
+            await self._read_requests(reader, client)
         except ProtocolError as error:
             self.log.info("request_refused", status=error.status, reason=error.reason)
-            while client.number is not None:  # what stands before it here is still owed its answer
+            while client.number is not None:  # requests before it are answered first
                 client.wake.clear()
                 await client.wake.wait()
             client.keep_alive = False
-            client.answer(plain(error.status, error.reason, False))
-        except (OSError, RuntimeError) as error:  # uvloop calls a connection that has gone the latter
+            client.answer(plain_answer(error.status, error.reason, False))
+        except (OSError, RuntimeError) as error:  # uvloop raises RuntimeError on a lost connection
             self.log.info("client_lost", reason=str(error) or type(error).__name__)
         except asyncio.CancelledError:
-            pass  # the loop ends, and this task with it
+            pass  # the event loop is shutting down
         finally:
             self.clients.discard(client)
             if client.resuming:
@@ -224,7 +226,7 @@
                 self.taker.abandon(number)
             writer.close()
 
-    async def _converse(self, reader: asyncio.StreamReader, client: Client) -> None:
+    async def _read_requests(self, reader: asyncio.StreamReader, client: Client) -> None:
         bounds, loop = self.service.front, asyncio.get_running_loop()
         parser = RequestParser(bounds.max_head, bounds.max_body)
         while True:
@@ -236,60 +238,61 @@
             if not data:
                 return
             now = client.idle_since = loop.time()
-            whole = parser.feed(data)
-            came = now - self._standstill.waited(now)
-            client.waiting.extend([(http, came) for http in whole])
+            complete = parser.feed(data)
+            arrived = now - self._standstill.max_wait_s(now)
+            client.waiting.extend([(http, arrived) for http in complete])
             if not parser.started:
                 client.head_since = None
-            elif whole or client.head_since is None:
+            elif complete or client.head_since is None:
                 client.head_since = client.idle_since
-            self.go_on(client)
+            self.process_waiting(client)
             if parser.failed:
                 raise parser.failed
 
-    def go_on(self, client: Client) -> None:
-        """Hand on what waits, while nothing is out and the client takes its answers off us."""
+    def process_waiting(self, client: Client) -> None:
+        """Pass on waiting requests while none is in progress and the client reads its answers."""
         if client.writer.is_closing():
-            client.waiting.clear()  # never taken: nobody is there to answer
+            client.waiting.clear()  # not accepted yet, and the client has disconnected
         while client.waiting and client.number is None:
             if client.writer.transport.get_write_buffer_size() > self.service.front.max_body:
                 client.resuming = client.resuming or asyncio.get_running_loop().create_task(self._resume(client))
                 return
-            http, came = client.waiting.popleft()
+            http, arrived = client.waiting.popleft()
             client.keep_alive = http.keep_alive and not self.stopping
             try:
-                ask = self._reader.read(http)
+                client_request = self._reader.read(http)
             except ProtocolError as error:
                 self.log.info("request_refused", status=error.status, reason=error.reason)
-                client.answer(plain(error.status, error.reason, client.keep_alive))
+                client.answer(plain_answer(error.status, error.reason, client.keep_alive))
                 continue
-            if (waited := (asyncio.get_running_loop().time() - came) * 1e3) > 1.0:  # the client's time ran on
-                ask = replace(ask, budget_ms=max(ask.budget_ms - waited, 0.0))
-            if self.stopping or not self.taker.take(ask, client):
-                client.answer(refusal("nothing more is taken", client.keep_alive))
+            # the time that the request has waited counts against its budget
+            if (waited := (asyncio.get_running_loop().time() - arrived) * 1e3) > 1.0:
+                client_request = replace(client_request, budget_ms=max(client_request.budget_ms - waited, 0.0))
+            if self.stopping or not self.taker.take(client_request, client):
+                client.answer(refusal_answer("nothing more is taken", client.keep_alive))
 
     async def _resume(self, client: Client) -> None:
         try:
-            await client.writer.drain()  # one that never reads is ended by the sweep
+            await client.writer.drain()  # the sweep ends a client that never reads
         except OSError:
             return
         finally:
             client.resuming = None
             client.wake.set()
-        self.go_on(client)
+        self.process_waiting(client)
 
     def _beat(self) -> None:
         loop = asyncio.get_running_loop()
-        self._standstill.beaten(loop.time())
-        self._beater = loop.call_later(BEAT_S, self._beat)
+        self._standstill.heartbeat(loop.time())
+        self._beater = loop.call_later(HEARTBEAT_S, self._beat)
 
     def _sweep(self) -> None:
-        """End clients that idle, that never finish a request, or that never read. One timer for all."""
+        """Close clients that are idle, do not complete a request or do not read; one timer for all clients."""
         loop, bounds = asyncio.get_running_loop(), self.service.front
         now = loop.time()
         for client in list(self.clients):
             unsent = client.writer.transport.get_write_buffer_size()
-            if client.write_stall.stuck(unsent, now) >= bounds.write_timeout / 1e3:
+            if client.write_stall.stalled_s(unsent, now) >= bounds.write_timeout / 1e3:
                 self.log.info("client_ended", reason="does not read", unsent=unsent)
                 client.writer.transport.abort()
             elif client.number is not None or client.waiting:
@@ -297,7 +300,7 @@
             elif client.head_since and now - client.head_since >= bounds.head_timeout / 1e3:
                 self.log.info("client_ended", reason="half a request")
                 client.keep_alive = False
-                client.answer(plain(408, "the request did not come in time", False))
+                client.answer(plain_answer(408, "the request did not come in time", False))
             elif now - client.idle_since >= bounds.idle_timeout / 1e3:
                 client.writer.close()
         least = min(bounds.head_timeout, bounds.idle_timeout, bounds.write_timeout) / 1e3
--- a/otterquay/agent/outcomes.py
+++ b/otterquay/agent/outcomes.py
@@ -1,7 +1,7 @@
-"""What the end of an attempt on a socket means to the decision module: one table, each row with its reason.
+"""Maps how an attempt ended on its socket to the status that the decision module gets, with a reason for each row.
 
-What proves that an attempt never ran lets the module send again what must not run twice; so a row may say
-`FULL`, `CONNECT_FAILED` or `MOOT` only where not one byte of the request can have reached working code.
+A status that proves that an attempt never ran lets the module repeat a request that must not run twice. A row may
+therefore use `FULL`, `CONNECT_FAILED` or `MOOT` only if no byte of the request can have reached working code.
 """
 
 from __future__ import annotations
@@ -11,62 +11,66 @@
 
 from otterquay.interface import Status
 
-NOT_SEEN = (b"otterquay-seen", b"no")
+NOT_SEEN_HEADER = (b"otterquay-seen", b"no")
 
 
 class End(Enum):
-    """How an attempt ended, as the sockets show it."""
+    """How an attempt ended, as seen at its socket."""
 
-    ANSWER = "an answer below 500"
-    SERVER_ERROR = "an answer of 500 or more"
-    TURNED_AWAY = "503 that says not seen"
-    GARBAGE = "bytes that are no answer, or one over the bound"
-    MISMATCH = "an answer to another attempt"
-    NO_CONNECTION = "no connection in time, refused, or no descriptor left"
-    CLOSED = "the connection closed or reset under a written request"
-    CLOSED_UNSENT = "the connection closed before the last byte of a request was written that runs only when whole"
-    OVERDUE = "no answer by the time given"
-    OVERDUE_CONNECTING = "no connection by the time given"
-    CALLED_OFF = "cancelled after it was written"
+    ANSWER = "an answer with a status below 500"
+    SERVER_ERROR = "an answer with a status of 500 or above"
+    TURNED_AWAY = "a 503 marked as not seen by the appliance"
+    GARBAGE = "a malformed answer, or one over the size bound"
+    MISMATCH = "an answer with the tag of another attempt"
+    NO_CONNECTION = "the connect timed out, was refused, or found no free descriptor"
+    CLOSED = "the connection was closed or reset after the request was written"
+    CLOSED_UNSENT = "the connection was closed before the last byte of a request that runs only once complete"
+    OVERDUE = "no answer within the time limit"
+    OVERDUE_CONNECTING = "no connection within the time limit"
+    CALLED_OFF = "cancelled after the request was written"
     CALLED_OFF_CONNECTING = "cancelled while connecting"
-    NOT_STARTED = "over, unknown or past its time before anything was done"
+    NOT_STARTED = "already ended, unknown or past its time limit before anything was sent"
 
 
 @dataclass(frozen=True, slots=True)
-class Meaning:
-    """The status told, whether that proves that nothing ran, and why."""
+class EndMeaning:
+    """The status for the module, whether it proves that the request never ran, and the reason."""
 
     status: Status
     never_ran: bool
     reason: str
 
 
-TABLE: dict[End, Meaning] = {
-    End.ANSWER: Meaning(Status.OK, False, "the appliance answered; below 500 the answer is the client's affair"),
-    End.SERVER_ERROR: Meaning(Status.ERROR, False, "it failed while or after working on it"),
-    End.TURNED_AWAY: Meaning(Status.FULL, True, "the appliance vouches that it did not look at it"),
-    End.GARBAGE: Meaning(Status.ERROR, False, "the request was read by something; what it did is unknown"),
-    End.MISMATCH: Meaning(Status.RESET, False, "the connection is out of step; our request was written on it"),
-    End.NO_CONNECTION: Meaning(Status.CONNECT_FAILED, True, "no byte of the request left"),
-    End.CLOSED: Meaning(
+END_MEANINGS: dict[End, EndMeaning] = {
+    End.ANSWER: EndMeaning(
+        Status.OK, False, "the appliance answered; an answer below 500 is for the client to judge"
+    ),
+    End.SERVER_ERROR: EndMeaning(Status.ERROR, False, "the appliance failed, possibly after running the request"),
+    End.TURNED_AWAY: EndMeaning(Status.FULL, True, "the appliance states that it did not start the request"),
+    End.GARBAGE: EndMeaning(Status.ERROR, False, "something read the request; whether it ran is unknown"),
+    End.MISMATCH: EndMeaning(
+        Status.RESET, False, "answers on the connection are out of order, and the request was written to it"
+    ),
+    End.NO_CONNECTION: EndMeaning(Status.CONNECT_FAILED, True, "no byte of the request was sent"),
+    End.CLOSED: EndMeaning(
         Status.RESET,
         False,
         "a stale keep-alive connection looks the same as one whose "
-        "appliance read the request and died: nothing is proved",
+        "appliance read the request and crashed, so nothing is proved",
     ),
-    End.CLOSED_UNSENT: Meaning(Status.CONNECT_FAILED, True, "an appliance begins only what it has whole"),
-    End.OVERDUE: Meaning(Status.TIMEOUT, False, "it may have run or may still run"),
-    End.OVERDUE_CONNECTING: Meaning(Status.CONNECT_FAILED, True, "the request did not leave whole"),
-    End.CALLED_OFF: Meaning(Status.CANCELLED, False, "closing the connection may or may not have stopped it"),
-    End.CALLED_OFF_CONNECTING: Meaning(Status.MOOT, True, "the request did not leave whole"),
-    End.NOT_STARTED: Meaning(Status.MOOT, True, "nothing was sent"),
+    End.CLOSED_UNSENT: EndMeaning(Status.CONNECT_FAILED, True, "an appliance runs only complete requests"),
+    End.OVERDUE: EndMeaning(Status.TIMEOUT, False, "it may have run or may still run"),
+    End.OVERDUE_CONNECTING: EndMeaning(Status.CONNECT_FAILED, True, "the request was not sent completely"),
+    End.CALLED_OFF: EndMeaning(Status.CANCELLED, False, "closing the connection may not have stopped it"),
+    End.CALLED_OFF_CONNECTING: EndMeaning(Status.MOOT, True, "the request was not sent completely"),
+    End.NOT_STARTED: EndMeaning(Status.MOOT, True, "nothing was sent"),
 }
 
 
 def end_of_answer(status: int, headers: dict[bytes, bytes]) -> End:
-    """Which row a whole answer belongs to."""
+    """Classify a complete answer by its status and headers."""
     if status < 500:
         return End.ANSWER
-    if status == 503 and headers.get(NOT_SEEN[0], b"").strip().lower() == NOT_SEEN[1]:
+    if status == 503 and headers.get(NOT_SEEN_HEADER[0], b"").strip().lower() == NOT_SEEN_HEADER[1]:
         return End.TURNED_AWAY
     return End.SERVER_ERROR
--- /dev/null
+++ b/otterquay/agent/state_store.py
@@ -0,0 +1,164 @@
+"""The agent state that survives a restart, and how much of it is restored to the decision module.
+
+Restored state must never let an agent break a rule that an agent without a store would keep:
+
+- The server list is restored as a cached list, which the first list received replaces.
+- Of the stage, only what later events cannot revoke: builds before the newest one are not on trial. The newest
+  build's stage may have changed, as well as whether it was released or withdrawn, so it is treated as unknown, as
+  without a store.
+- Attempts on builds under a cap within the exposure window: they can only forbid further attempts. The number of
+  requests that the share is measured by is not stored, nor what each server was sent.
+- With one-way releases, the build that answered an idempotency key: it can only forbid builds. Above
+  `MAX_ANSWERED_KEYS`, once the build is released, a single record stands for all keys.
+- Votes are stored for operators and not restored, as the evidence behind them is gone.
+
+Times are those of the store's clock; an attempt is stored at the end of its `BIN_MS` interval.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import struct
+from collections.abc import Mapping
+from itertools import islice
+
+import msgspec
+
+from otterquay import interface as it
+from otterquay.logs import Logger
+from otterquay.protocol import news
+from otterquay.store import Change, Delete, Put, Store
+
+BIN_MS = 250
+LIST, STAGE, TRIED, ANSWERED, VOTES = "list", "stage", "tried", "answered", "votes"
+_TRIED = struct.Struct(">QIH")  # end of the bin in store time, build, class
+VOTE_RETENTION_S = 7 * 86400.0
+MAX_ANSWERED_KEYS = 2**18
+CLEAR_BATCH_KEYS = 1024  # keys removed in one turn of the event loop
+ALL_KEYS = (0).to_bytes(8)
+
+
+class AgentStateStore:
+    """Writes an agent's state to its store, without waiting for the disk; `window_ms` is the exposure window."""
+
+    def __init__(self, store: Store, window_ms: float, log: Logger) -> None:
+        self._store, self._window_ms, self._log = store, window_ms, log
+        self._bin: dict[bytes, int] = {}
+        self._timer: asyncio.TimerHandle | None = None
+        self._build = 0
+        self._vote_count = self._all_keys_build = 0  # votes cast; the build that answered all keys
+        self._stored_list: dict[int, news.Entry] = {}
+
+    # --- restoring ---
+    def recall(self, now_ms: float) -> tuple[news.FleetNews | None, list[it.Event]]:
+        """Return the stored list and the events that restore the rest; unreadable state is logged and left out."""
+        fleet: news.FleetNews | None = None
+        events: list[it.Event] = []
+        try:
+            for key, data in self._store.scan(LIST):
+                self._stored_list[int.from_bytes(key)] = msgspec.json.decode(data, type=news.Entry)
+            if self._stored_list:
+                fleet = news.FleetNews(0, list(self._stored_list.values()))
+            if stage := self._store.get(STAGE, b""):
+                self._build = int(stage)
+                if self._build > 0:
+                    events.append(
+                        it.StageNews(self._build - 1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, float("inf"))
+                    )
+            shift = now_ms - self._store.now()
+            attempts = list[tuple[int, int, float]]()
+            for key, value in self._store.scan(TRIED):
+                until, build, cls = _TRIED.unpack(key)
+                attempts += [(build, cls, min(until + shift, now_ms))] * int(value)
+            answered = [(int.from_bytes(k), int(v)) for k, v in self._store.scan(ANSWERED)]
+            self._all_keys_build = dict(answered).get(0, 0)
+            if attempts or answered:
+                events.append(it.Restored(tuple(attempts), tuple(answered)))
+        except Exception as error:  # a damaged record must not prevent the start
+            self._log.warning("recall_failed", reason=f"{type(error).__name__}: {error}")
+        return fleet, events
+
+    # --- storing ---
+    def list(self, entries: Mapping[int, news.Entry]) -> None:
+        """Store the changes of the server list since the last call."""
+        changes: list[Change] = [
+            Delete(LIST, server.to_bytes(8)) for server in self._stored_list if server not in entries
+        ]
+        changes += [
+            Put(LIST, server.to_bytes(8), msgspec.json.encode(entry))
+            for server, entry in entries.items()
+            if self._stored_list.get(server) != entry
+        ]
+        self._stored_list = dict(entries)
+        if changes:
+            self._store.submit(changes)
+
+    def stage(self, stage: it.StageNews) -> None:
+        """Store the newest build; a build that is rolled back releases the keys that it answered."""
+        back = stage.phase in (it.Phase.GOING_BACK, it.Phase.WITHDRAWN)
+        if back or stage.build > self._build:
+            self._all_keys_build = 0
+            self._clear(stage.build if back else stage.build - 1)
+        if stage.build > self._build:
+            self._build = stage.build
+            self._store.submit([Put(STAGE, b"", b"%d" % stage.build)])
+
+    def _clear(self, build: int, first: bytes = b"") -> None:
+        """Remove keys answered by builds up to this one, in batches, as all of them may exceed a store batch."""
+        if self._store.failed:
+            return
+        batch = list(islice(self._store.scan(ANSWERED, first), CLEAR_BATCH_KEYS))
+        if deletes := [Delete(ANSWERED, key) for key, value in batch if int(value) <= build]:
+            self._store.submit(deletes)
+        if len(batch) == CLEAR_BATCH_KEYS:
+            asyncio.get_running_loop().call_soon(self._clear, build, batch[-1][0] + b"\0")
+
+    def tried(self, build: int, cls: int) -> None:
+        """Record an attempt on a build under a cap."""
+        until = (self._store.now() // BIN_MS + 1) * BIN_MS
+        key = _TRIED.pack(until, build, cls)
+        self._bin[key] = self._bin.get(key, 0) + 1
+        if self._timer is None:
+            self._timer = asyncio.get_running_loop().call_later(BIN_MS / 1e3, self.flush)
+
+    def flush(self) -> None:
+        """Write the attempts of the current bin to the store."""
+        if self._timer:
+            self._timer.cancel()
+            self._timer = None
+        if self._bin:
+            retention_s = (self._window_ms + 4 * BIN_MS) / 1e3
+            self._store.submit([Put(TRIED, key, b"%d" % count, retention_s) for key, count in self._bin.items()])
+            self._bin = {}
+
+    def answered(self, key: int, build: int, capped: bool) -> None:
+        """Record the build that answered a keyed request under one-way releases; `capped`: it is on trial."""
+        record_key = key.to_bytes(8)
+        if (
+            build < self._build
+            or build <= self._all_keys_build
+            or int(self._store.get(ANSWERED, record_key) or b"0") >= build
+        ):
+            return
+        if not capped and self._store.tables().get(ANSWERED, 0) >= MAX_ANSWERED_KEYS:
+            record_key, self._all_keys_build = ALL_KEYS, build
+        self._store.submit([Put(ANSWERED, record_key, b"%d" % build)])
+        if record_key == ALL_KEYS:  # after the write, so that no key is unprotected in between
+            self._clear(build, ALL_KEYS + b"\0")
+
+    def voted(self, vote: it.CastVote) -> None:
+        """Record a vote."""
+        self._vote_count += 1
+        key = self._store.now().to_bytes(8) + self._vote_count.to_bytes(4)
+        self._store.submit(
+            [
+                Put(
+                    VOTES,
+                    key,
+                    msgspec.json.encode(
+                        {"build": vote.build, "stage": vote.stage, "verdict": vote.verdict.name.lower()}
+                    ),
+                    VOTE_RETENTION_S,
+                )
+            ]
+        )
--- a/otterquay/cli/root.py
+++ b/otterquay/cli/root.py
@@ -13,7 +13,7 @@
 import click
 import uvloop
 
-from otterquay.agent.web import WebAgent
+from otterquay.agent.http_agent import HttpAgent
 from otterquay.cli.chat import chat
 from otterquay.cli.cluster import cluster
 from otterquay.cli.lab import demo, lab
@@ -166,7 +166,7 @@
                 # serves traffic without the store; `otterquay store repair` recovers its data
                 log.error("store_not_taken", folder=service.agent.store, reason=str(error))
         try:
-            runtime = WebAgent(service, rng, log, key, store, chat_key=chat_key)
+            runtime = HttpAgent(service, rng, log, key, store, chat_key=chat_key)
             if service.group:
                 from otterquay.fleet.build import attach  # imports numpy, so only where it is needed
 
@@ -178,7 +178,7 @@
             if store:
                 await store.close()
 
-    async def serve(runtime: WebAgent) -> None:
+    async def serve(runtime: HttpAgent) -> None:
         stop_requested = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
--- a/otterquay/node/agent.py
+++ b/otterquay/node/agent.py
@@ -8,10 +8,10 @@
 from dataclasses import fields
 
 from otterquay import interface as it
-from otterquay.agent.back import Pool
-from otterquay.agent.lifecycle import DRAIN_LOOK_S
+from otterquay.agent.connection_pool import Pool
+from otterquay.agent.lifecycle import DRAIN_POLL_S
 from otterquay.agent.ports import Ports
-from otterquay.agent.runtime import Decider, Runtime
+from otterquay.agent.runtime import DecisionModule, Runtime
 from otterquay.logs import Logger
 from otterquay.node.config import NodeConfig
 from otterquay.node.discovery import DiscoveryPoller
@@ -55,7 +55,7 @@
         rng: random.Random,
         wall: Callable[[], float],
         log: Logger,
-        decider: Callable[[it.Settings, int], Decider] = Agent,
+        decider: Callable[[it.Settings, int], DecisionModule] = Agent,
     ) -> None:
         settings, free = config.settings, config.sockets - RESERVED_SOCKETS
         clients = int(free * CLIENT_SOCKET_SHARE)
@@ -108,9 +108,9 @@
         """Shut down before SIGKILL is due: accept requests for LINGER_S, then drain those that are still open."""
         remaining_s = shutdown_time_s(self.settings)
         self.drain_until = self._now() + remaining_s
-        self.log.info("agent_leaving", held=len(self.held), within_s=remaining_s)
+        self.log.info("agent_leaving", held=len(self.open_requests), within_s=remaining_s)
         await asyncio.sleep(LINGER_S)
         await self.stop(remaining_s - LINGER_S)
-        await asyncio.sleep(DRAIN_LOOK_S)  # lets the connections finish closing
+        await asyncio.sleep(DRAIN_POLL_S)  # lets the connections finish closing
         if self.front.clients:
             self.log.warning("left_with_connections_open", open=len(self.front.clients))
--- a/otterquay/node/client.py
+++ b/otterquay/node/client.py
@@ -11,8 +11,8 @@
 from enum import Enum
 from typing import TYPE_CHECKING, cast
 
-from otterquay.agent.ports import Final
-from otterquay.agent.sockets import peer_closed, unread
+from otterquay.agent.ports import FinalAnswer
+from otterquay.agent.sockets import has_unread_data, peer_closed
 from otterquay.agent.write_stall import WriteStall
 from otterquay.node.request_reader import QUERY, SUBMIT
 from otterquay.protocol import resp
@@ -48,7 +48,7 @@
         self.client, self.id, self.answer = client, id, answer
         self.number: int | None = None
 
-    def final(self, answer: Final) -> None:
+    def final(self, answer: FinalAnswer) -> None:
         """Encode the final answer; it is written after those before it."""
         if answer.kind == "served":
             self.set_answer(resp.encode_bulk(answer.body))
@@ -70,7 +70,7 @@
     def settled(self) -> None:
         """Ignored: pipelined commands do not wait for each other."""
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """Whether the client has closed the connection, even if the close has not been read yet."""
         return peer_closed(self.client.transport)
 
@@ -181,7 +181,7 @@
         except ProtocolError as error:
             front.log.info("request_refused", reason=error.reason)
             return self._answer_directly(resp.encode_error(f"ERR {error.reason}"))
-        waited = front.stall_detector.waited(front.now()) * 1e3
+        waited = front.stall_detector.max_wait_s(front.now()) * 1e3
         if waited > 1.0:  # deduct the time that the command may have waited unread during an event-loop stall
             ask = replace(ask, budget_ms=max(ask.budget_ms - waited, 0.0))
         slot = PendingAnswer(self, arguments[2])
@@ -216,7 +216,10 @@
     def is_idle(self) -> bool:
         """Whether no answer is pending, no command is incomplete and no bytes are unread."""
         return (
-            self.state is State.OPEN and not self.slots and not self.parser.started and not unread(self.transport)
+            self.state is State.OPEN
+            and not self.slots
+            and not self.parser.started
+            and not has_unread_data(self.transport)
         )
 
     def close(self) -> None:
@@ -242,7 +245,7 @@
     def check_timeouts(self, now: float) -> None:
         """Close a client that is idle, never completes a command, or does not read its answers."""
         unsent = self.transport.get_write_buffer_size()
-        if self.write_stall.stuck(unsent, now) >= WRITE_STALL_TIMEOUT_S:
+        if self.write_stall.stalled_s(unsent, now) >= WRITE_STALL_TIMEOUT_S:
             self.front.log.info("client_ended", reason="does not read", unsent=unsent)
             self.transport.abort()
         elif self.state is State.CLOSED:
@@ -253,7 +256,7 @@
         elif self.half_since is not None and (
             now - self.read_at >= INCOMPLETE_COMMAND_IDLE_S or now - self.half_since >= MAX_INCOMPLETE_COMMAND_S
         ):
-            if not unread(self.transport):
+            if not has_unread_data(self.transport):
                 self.end_with_error("half a command")
         elif now - self.idle_since >= IDLE_TIMEOUT_S and self.is_idle():
             self.close()
--- a/otterquay/node/front.py
+++ b/otterquay/node/front.py
@@ -11,8 +11,8 @@
 
 from otterquay import interface as it
 from otterquay.addresses import split_address
-from otterquay.agent.ports import Taker
-from otterquay.agent.standstill import BEAT_S, Standstill
+from otterquay.agent.ports import RequestHandler
+from otterquay.agent.stall_detector import HEARTBEAT_S, StallDetector
 from otterquay.logs import Logger
 from otterquay.node.client import ClientConnection
 from otterquay.node.request_reader import RequestReader
@@ -31,14 +31,14 @@
 
     listen: str
     settings: it.Settings
-    taker: Taker
+    taker: RequestHandler
     max_clients: int
     shed_above: int  # with more clients, the longest idle one is closed: clients run out of connections first
     log: Logger
     clients: set[ClientConnection] = field(default_factory=set)
     ids: set[bytes] = field(default_factory=set)  # ids of open requests
     draining: bool = False
-    stall_detector: Standstill = field(default_factory=lambda: Standstill(0.0))
+    stall_detector: StallDetector = field(default_factory=lambda: StallDetector(0.0))
     reader: RequestReader = field(init=False)
     _last_change: float = 0.0  # when a connection was last opened or closed
     _active_s: float = 0.0
@@ -65,7 +65,7 @@
         """Start listening; returns the host and port bound. OSError if the address cannot be bound."""
         self._loop = loop = asyncio.get_running_loop()
         host, port = split_address(self.listen)
-        self.stall_detector, self._last_sweep = Standstill(loop.time()), loop.time()
+        self.stall_detector, self._last_sweep = StallDetector(loop.time()), loop.time()
         self._server = await loop.create_server(lambda: ClientConnection(self), host, port, backlog=1024)
         self._heartbeat()
         self._sweep()
@@ -141,8 +141,8 @@
 
     def _heartbeat(self) -> None:
         assert self._loop
-        self.stall_detector.beaten(self.now())
-        self._heartbeat_timer = self._loop.call_later(BEAT_S, self._heartbeat)
+        self.stall_detector.heartbeat(self.now())
+        self._heartbeat_timer = self._loop.call_later(HEARTBEAT_S, self._heartbeat)
 
     def _sweep(self) -> None:
         """Check the timeouts of all clients with a single timer."""
--- a/otterquay/node/platform.py
+++ b/otterquay/node/platform.py
@@ -10,7 +10,7 @@
 from otterquay import interface as it
 from otterquay.addresses import split_address
 from otterquay.agent.feeds import counts_against_cap, standing
-from otterquay.agent.reconnect import BREAKS, Reconnect
+from otterquay.agent.reconnect import CONNECTION_ERRORS, Reconnect
 from otterquay.agent.runtime import Runtime
 from otterquay.logs import Logger
 from otterquay.protocol import platform as codec
@@ -105,7 +105,7 @@
             "platform_fault",
             self._rng,
             *BACKOFF_S,
-            (*BREAKS, RuntimeError),
+            (*CONNECTION_ERRORS, RuntimeError),
         ).run()
 
     def _broken(self, reason: str, failures: int) -> bool:
@@ -151,7 +151,7 @@
             self._state, self._state_at_ms = line.state, asyncio.get_running_loop().time() * 1e3
         if isinstance(line, codec.Notification):
             if line.state:
-                self._runtime.told(self._stage_news(False, it.Status.OK))
+                self._runtime.on_news(self._stage_news(False, it.Status.OK))
             return
         if not self._calls:
             raise codec.MalformedLine("answer without a pending call")
--- a/otterquay/node/request_reader.py
+++ b/otterquay/node/request_reader.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from otterquay import interface as it
-from otterquay.agent.ports import Ask
+from otterquay.agent.ports import ClientRequest
 from otterquay.protocol.http import ProtocolError
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
@@ -30,7 +30,7 @@
             settings,
         )
 
-    def read(self, arguments: list[bytes]) -> Ask:
+    def read(self, arguments: list[bytes]) -> ClientRequest:
         """Parse a command; ProtocolError names the invalid field and the values that it allows."""
         is_query = arguments[0] == QUERY
         if len(arguments) != (4 if is_query else 5):
@@ -58,4 +58,4 @@
         if effect is it.Effect.KEYED and b"k" not in options:
             raise ProtocolError(400, "k: wanted in this class")
         budget = min(float(options[b"d"]), self.settings.classes[cls].deadline_ms)
-        return Ask(arguments, cls, tenant, arguments[1], budget, None, options.get(b"r") == b"1")
+        return ClientRequest(arguments, cls, tenant, arguments[1], budget, None, options.get(b"r") == b"1")
--- a/otterquay/node/resp_codec.py
+++ b/otterquay/node/resp_codec.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 
 from otterquay.agent.outcomes import End
-from otterquay.agent.ports import Ask, Final
+from otterquay.agent.ports import ClientRequest, FinalAnswer
 from otterquay.protocol import resp
 
 
@@ -26,7 +26,7 @@
         """Identify an attempt in this process; the tag is not sent to appliances."""
         return b"%d-%d" % (request, attempt)
 
-    def attempt(self, ask: Ask, tag: bytes, address: str, left_ms: float) -> bytes:
+    def attempt(self, ask: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
         """Encode the client's own command, with `d` set to the time left for this attempt."""
         arguments: list[bytes] = ask.message
         left = b"d=%d" % max(1, math.ceil(left_ms))
@@ -53,6 +53,6 @@
             report = answer.value.rpartition(b" ")[2]
         return resp.parse_load_report(report, self._names)
 
-    def final(self, answer: resp.Answer) -> Final:
+    def final(self, answer: resp.Answer) -> FinalAnswer:
         """The answer for the client: the value that the appliance returned."""
-        return Final("served", body=answer.value)
+        return FinalAnswer("served", body=answer.value)
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""The agent on loopback sockets in the hard cases. No test rests on how long something takes."""
+"""The agent on loopback sockets in difficult cases. No test depends on how long a step takes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 import msgspec
 import pytest
 import uvloop
-from rig import Rig, kind, raw, right, run, service, silent_server
+from rig import Rig, answer_at_once, answer_bytes, kind, never_answer, run, service
 
 from otterquay import interface as it
-from otterquay.agent.outcomes import TABLE, End
-from otterquay.agent.ports import Ask, Final
+from otterquay.agent.outcomes import END_MEANINGS, End
+from otterquay.agent.ports import ClientRequest, FinalAnswer
 from otterquay.lab.disk import FaultDisk
 from otterquay.policy.state import UNRUN
 from otterquay.protocol import news
@@ -63,14 +63,14 @@
 @pytest.mark.parametrize(
     ("behave", "status", "again"),
     [
-        (raw(ERROR), it.Status.ERROR, False),
-        (raw(NOT_SEEN), it.Status.FULL, True),
-        (raw(write_response(503, [], b"")), it.Status.ERROR, False),
-        (raw(b"\x00garbage\r\n\r\n"), it.Status.ERROR, False),
-        (raw(b"", close=True), it.Status.RESET, False),
-        (raw(b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf", close=True), it.Status.RESET, False),
-        (raw(write_response(200, [(b"otterquay-attempt", b"99-0")], b"x")), it.Status.RESET, False),
-        (silent_server, it.Status.TIMEOUT, False),
+        (answer_bytes(ERROR), it.Status.ERROR, False),
+        (answer_bytes(NOT_SEEN), it.Status.FULL, True),
+        (answer_bytes(write_response(503, [], b"")), it.Status.ERROR, False),
+        (answer_bytes(b"\x00garbage\r\n\r\n"), it.Status.ERROR, False),
+        (answer_bytes(b"", close=True), it.Status.RESET, False),
+        (answer_bytes(b"HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\nhalf", close=True), it.Status.RESET, False),
+        (answer_bytes(write_response(200, [(b"otterquay-attempt", b"99-0")], b"x")), it.Status.RESET, False),
+        (never_answer, it.Status.TIMEOUT, False),
     ],
 )
 def test_how_an_attempt_ended_decides_whether_an_unsafe_request_goes_again(
@@ -103,8 +103,8 @@
 
 
 def test_the_table_says_of_no_written_request_that_it_never_ran_and_fits_the_module() -> None:
-    assert set(TABLE) == set(End) and all(row.reason for row in TABLE.values())
-    for row in TABLE.values():
+    assert set(END_MEANINGS) == set(End) and all(row.reason for row in END_MEANINGS.values())
+    for row in END_MEANINGS.values():
         assert row.never_ran == (row.status in UNRUN)
     unwritten = {
         End.TURNED_AWAY,
@@ -114,14 +114,15 @@
         End.CLOSED_UNSENT,
         End.NOT_STARTED,
     }
-    assert {end for end, row in TABLE.items() if row.never_ran} == unwritten
+    assert {end for end, row in END_MEANINGS.items() if row.never_ran} == unwritten
 
 
 def test_a_stale_connection_closed_under_a_written_request_proves_nothing() -> None:
     async def work() -> None:
         async with Rig(servers=1) as rig:
             assert kind(await rig.get("race-entry")) == "served"
-            rig.servers[0].behave = raw(b"", close=True)  # read, then closed: it looks like a stale one
+            # the appliance reads the request, then closes, which looks like a stale connection
+            rig.servers[0].behave = answer_bytes(b"", close=True)
             answer = await rig.get("race-entry")
             assert kind(answer) == "failed" and len(rig.servers[0].got) == 2
             assert outcomes(rig) == [it.Status.OK, it.Status.RESET]
@@ -131,7 +132,7 @@
 
 @pytest.mark.parametrize("loop", [uvloop.new_event_loop, asyncio.new_event_loop])
 def test_a_connection_that_went_in_this_turn_loses_no_request(loop: Any) -> None:
-    """Under uvloop a write to it raises: requests were held and never answered."""
+    """Under uvloop, writing to a lost connection raises: requests stayed open and were never answered."""
 
     async def work() -> None:
         async with Rig(servers=1) as rig:
@@ -139,22 +140,22 @@
                 assert kind(await rig.get("race-entry")) == "served"
                 await rig.until(lambda: any(rig.runtime.pool.idle.values()))
                 idle = next(iter(rig.runtime.pool.idle.values()))
-                idle[-1].writer.transport.abort()  # gone, and in the same turn a request wants it
-                ended: list[Final] = []
+                idle[-1].writer.transport.abort()  # lost in the loop iteration in which a request uses it
+                ended: list[FinalAnswer] = []
                 http = HttpRequest(b"POST", b"/x", {}, b"", True)
-                rig.runtime.take(Ask(http, 2, 0, b"", 900.0, None, False), Stub(ended))
+                rig.runtime.take(ClientRequest(http, 2, 0, b"", 900.0, None, False), StubRequester(ended))
                 await rig.until(lambda e=ended: e)
                 assert ended[0].kind == "served"
-            assert not rig.runtime.held
+            assert not rig.runtime.open_requests
 
     with asyncio.Runner(loop_factory=loop) as runner:
         runner.run(work())
 
 
-class Stub:
-    """An asker that keeps its answers."""
+class StubRequester:
+    """A requester that collects its answers."""
 
-    def __init__(self, answers: list[Final]) -> None:
+    def __init__(self, answers: list[FinalAnswer]) -> None:
         self.number: int | None = None
         self.final = answers.append
 
@@ -162,7 +163,7 @@
 
     def settled(self) -> None: ...
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         return False
 
 
@@ -174,9 +175,9 @@
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry", budget=200))
             assert kind((await rig.answers(reader))[0]) == "failed"
-            right(peers[0], rig.servers[0].got[0])
-            rig.servers[0].behave = right
-            writer.write(rig.ask())  # the connection to the client is in step, the other one is gone
+            answer_at_once(peers[0], rig.servers[0].got[0])
+            rig.servers[0].behave = answer_at_once
+            writer.write(rig.ask())  # the client's connection still works, the appliance's was closed
             assert kind((await rig.answers(reader))[0]) == "served"
             assert outcomes(rig) == [it.Status.TIMEOUT, it.Status.OK]
 
@@ -186,18 +187,18 @@
 def test_reply_and_time_out_in_one_turn_of_the_loop_end_the_attempt_once() -> None:
     async def work() -> None:
         async with Rig(servers=1) as rig:
-            rig.servers[0].behave = silent_server
+            rig.servers[0].behave = never_answer
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry"))
             await rig.until(lambda: rig.servers[0].got)
-            call = next(c for h in rig.runtime.held.values() for c in h.calls.values())
+            call = next(c for h in rig.runtime.open_requests.values() for c in h.calls.values())
             answer = write_response(200, [], b"right\n")
             parsed = type(call.connection.parser)().feed(answer)[0]
             rig.runtime.pool._end(call, End.ANSWER, parsed)
             rig.runtime.pool._overdue(call)
             rig.runtime.pool.cancel(call)
             assert kind((await rig.answers(reader))[0]) == "served"
-            assert outcomes(rig) == [it.Status.OK] and not rig.runtime.held
+            assert outcomes(rig) == [it.Status.OK] and not rig.runtime.open_requests
 
     run(work)
 
@@ -206,7 +207,7 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             one = write_response(200, [], b"first\n")
-            rig.servers[0].behave = raw(one + write_response(200, [], b"second\n"))
+            rig.servers[0].behave = answer_bytes(one + write_response(200, [], b"second\n"))
             for _ in range(5):
                 assert (await rig.get()).body == b"first\n"
             peers: list[Any] = []
@@ -216,7 +217,7 @@
                 peer.send(one)
 
             rig.servers[0].behave = later
-            for _ in range(5):  # the surplus answer comes while the connection is idle
+            for _ in range(5):  # the surplus answer arrives while the connection is idle
                 assert (await rig.get()).body == b"first\n"
                 peers[-1].send(write_response(200, [], b"late\n"))
                 await rig.until(lambda: not rig.runtime.pool.open)
@@ -228,7 +229,7 @@
     async def work() -> None:
         async with Rig(servers=2) as rig:
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             _, writer = await rig.connect()
             writer.write(rig.ask("lobby-read", budget=400))
             await rig.until(lambda: sum(len(s.got) for s in rig.servers))
@@ -236,7 +237,7 @@
             await rig.until(lambda: rig.seen(it.Abandoned))
             await rig.until(lambda: rig.seen(it.Outcome))
             assert rig.seen(it.Outcome)[0].over and sum(len(s.got) for s in rig.servers) == 1
-            assert not rig.runtime.held
+            assert not rig.runtime.open_requests
 
     run(work)
 
@@ -250,7 +251,7 @@
             assert (await rig.answers(reader))[0].status == 408
             reader, writer = await rig.connect()
             await rig.until(lambda: len(rig.runtime.front.clients) == 1)
-            for byte in rig.ask()[:30]:  # a byte now and then buys no more time
+            for byte in rig.ask()[:30]:  # single bytes do not extend the timeout
                 if not rig.runtime.front.clients:
                     break
                 writer.write(bytes([byte]))
@@ -296,23 +297,23 @@
         bounds = service(front={"max_body": "64KiB", "write_timeout": "200ms"})
         async with Rig(config=bounds) as rig:
             for server in rig.servers:
-                server.behave = raw(write_response(200, [], b"x" * 60000))
+                server.behave = answer_bytes(write_response(200, [], b"x" * 60000))
             reader, writer = await asyncio.open_connection(*rig.address, limit=1024)
             writer.transport.pause_reading()
             for _ in range(400):
                 writer.write(rig.ask())
             await rig.until(lambda: rig.seen(it.Request))
             assert kind(await rig.get()) == "served"
-            most = 0
+            max_buffered = 0
 
             def ended() -> bool:
-                nonlocal most
-                held = [c.writer.transport.get_write_buffer_size() for c in rig.runtime.front.clients]
-                most = max(most, *held, 0)
-                return len(held) == 1  # the one that read its answer stays
+                nonlocal max_buffered
+                buffered = [c.writer.transport.get_write_buffer_size() for c in rig.runtime.front.clients]
+                max_buffered = max(max_buffered, *buffered, 0)
+                return len(buffered) == 1  # only the client that read its answer remains
 
             await rig.until(ended)
-            assert 0 < most < 65536 + 2 * 61000, "at most the bound and one answer more is buffered"
+            assert 0 < max_buffered < 65536 + 2 * 61000, "at most the bound plus one answer is buffered"
             writer.transport.abort()
 
     run(work)
@@ -367,7 +368,7 @@
     async def work() -> None:
         async with Rig(config=service(limits={"max_open": 3})) as rig:
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             asks = [asyncio.ensure_future(rig.get(budget=500)) for _ in range(3)]
             await rig.until(lambda: len(rig.seen(it.Request)) == 3)
             answer = await rig.get()
@@ -393,11 +394,11 @@
             assert await idle_reader.read() == b""
             with pytest.raises(OSError):
                 await asyncio.open_connection(*rig.address)
-            lines[0][1].write(rig.ask())  # behind one that is held: it comes too late
+            lines[0][1].write(rig.ask())  # queued behind an open request: too late to be accepted
             await asyncio.sleep(0.05)
             assert not stopping.done()
             for peer, request in peers:
-                right(peer, request)
+                answer_at_once(peer, request)
             for reader, _ in lines:
                 assert kind((await rig.answers(reader))[0]) == "served"
             await stopping
@@ -415,7 +416,7 @@
             await rig.until(lambda: rig.runtime.pool.idle)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             for server in rig.servers:
-                server.behave = silent_server
+                server.behave = never_answer
             used = len(__import__("os").listdir("/proc/self/fd"))
             for free in list(rig.runtime.pool.idle):
                 rig.runtime.pool.close_idle(free)
@@ -425,10 +426,10 @@
                 answer = (await rig.answers(reader))[0]
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            assert kind(answer) == "refused", "no byte left, so repeating is harmless"
+            assert kind(answer) == "refused", "nothing was sent, so it is safe to repeat"
             assert set(outcomes(rig)[1:]) == {it.Status.CONNECT_FAILED}
             for server in rig.servers:
-                server.behave = right
+                server.behave = answer_at_once
             writer.write(rig.ask())
             assert kind((await rig.answers(reader))[0]) == "served"
 
@@ -444,11 +445,11 @@
             await asyncio.sleep(0)
             import time
 
-            time.sleep(1.2)  # all clocks of the loop run out at once
+            time.sleep(1.2)  # all timers of the loop expire at once
             found = [(await rig.answers(reader))[0] for reader, _ in lines]
             assert len(found) == 30 and all(kind(a) in ("served", "refused", "failed") for a in found)
             assert sum(len(s.got) for s in rig.servers) <= 30
-            await rig.until(lambda: not rig.runtime.held)
+            await rig.until(lambda: not rig.runtime.open_requests)
 
     run(work)
 
@@ -460,7 +461,7 @@
 
             def broken(now: float, event: it.Event) -> list[it.Action]:
                 if isinstance(event, it.Request) and event.cls == 2:
-                    raise KeyError("a fault in the decisions")
+                    raise KeyError("a bug in the decision module")
                 return handle(now, event)
 
             rig.runtime._agent.handle = broken  # type: ignore[method-assign]
@@ -479,7 +480,7 @@
             rig.change(msgspec.structs.replace(rig.entries[1], state="draining"))
             rig.stage(2, "trial", 0.28)
             await rig.until(lambda: len(rig.seen(it.StageNews)) > stages)
-            rig.stage(2, "trial", 1.0, number=1)  # an old event again, with a higher cap
+            rig.stage(2, "trial", 1.0, number=1)  # an outdated event with a higher cap
             rig.stage(2, "trial", 0.84, number=7)
             await rig.until(lambda: rig.seen(it.StageNews)[-1].cap == 0.84)
             assert [n.cap for n in rig.seen(it.StageNews)[stages:]] == [0.28, 0.84]
@@ -578,17 +579,17 @@
             rig.change(msgspec.structs.replace(rig.entries[1], incarnation=5, age_ms=100.0))
             await rig.until(lambda: len(rig.seen(it.ServerList)) == 2)
             rig.runtime.close()
-            await rig.up("127.0.0.1:9", rig.desk.listener.address)
+            await rig.start_agent("127.0.0.1:9", rig.desk.listener.address)
             cached = rig.seen(it.ServerList)[0]
             assert cached.kind is it.ListKind.CACHED and len(cached.entries) == 2
             now = asyncio.get_running_loop().time() * 1e3
             started = {e.server: e.started_ms for e in cached.entries}[1]
             assert now - started < 5000
             assert kind(await rig.get()) == "served"
-            store = rig.runtime._keeper._store
+            store = rig.runtime._state_store._store
             await store.commit([Put("list", b"\0" * 8, b"{ torn")])
             rig.runtime.close()
-            await rig.up(rig.list.listener.address, rig.desk.listener.address)
+            await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
             assert rig.seen(it.ServerList)[0].kind is it.ListKind.FULL
 
     run(work)
@@ -608,18 +609,18 @@
             rig.runtime.close()
             await asyncio.sleep(0.05)
             rig.with_desk = False
-            await rig.up(rig.list.listener.address, "127.0.0.1:9")
+            await rig.start_agent(rig.list.listener.address, "127.0.0.1:9")
             restored = rig.runtime._agent
             assert {k: len(v) for k, v in restored.attempt_times.items()} == tries
             assert restored._cap(1) is None and restored._cap(2) == restored.rollout.stage_cap[0]
             assert {kind(await rig.get()) for _ in range(5)} == {"served"}
             assert sum(len(v) for k, v in restored.attempt_times.items() if k[0] == 2) == sum(tries.values()), (
-                "cap holds"
+                "the cap holds"
             )
 
-            rig.runtime.close()  # beside it: one that begins with nothing spends what was spent again
+            rig.runtime.close()  # for comparison: an agent without a store spends the allowance again
             rig.disk = FaultDisk()
-            await rig.up(rig.list.listener.address, "127.0.0.1:9")
+            await rig.start_agent(rig.list.listener.address, "127.0.0.1:9")
             for _ in range(20):
                 await rig.get()
             empty = rig.runtime._agent
@@ -640,12 +641,12 @@
 
             rig.disk.fail = full
             rig.change(msgspec.structs.replace(rig.entries[1], incarnation=9))
-            await rig.until(lambda: rig.runtime._keeper._store.failed)
+            await rig.until(lambda: rig.runtime._state_store._store.failed)
             assert kind(await rig.get()) == "served"
             rig.disk.fail = lambda *_: None
             rig.runtime.close()
-            await rig.up(rig.list.listener.address, rig.desk.listener.address)
-            assert rig.runtime._keeper._store.failed is None and kind(await rig.get()) == "served"
+            await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
+            assert rig.runtime._state_store._store.failed is None and kind(await rig.get()) == "served"
 
     run(work)
 
@@ -684,8 +685,8 @@
 
             rig.desk.post = desk
             for verdict in (it.Verdict.ON, it.Verdict.BACK):
-                rig.runtime._act(it.CastVote(1, 0, verdict))
-            assert rig.runtime._next_vote, "the second waits for the first"
+                rig.runtime._execute(it.CastVote(1, 0, verdict))
+            assert rig.runtime._next_vote, "the second vote waits for the first"
             await rig.until(lambda: sum(n.answers_vote for n in rig.seen(it.StageNews)) == 2)
             assert [v.verdict for v in rig.votes] == ["on", "back"]
             assert [n.status for n in rig.seen(it.StageNews) if n.answers_vote] == [status, status]
@@ -703,7 +704,7 @@
                 asyncio.get_running_loop().call_later(0.05, peer.send, write_response(200, [], body))
 
             rig.desk.post = desk
-            rig.runtime._act(it.CastVote(2, 0, it.Verdict.BACK))
+            rig.runtime._execute(it.CastVote(2, 0, it.Verdict.BACK))
             await rig.until(lambda: any(n.answers_vote for n in rig.seen(it.StageNews)))
             last = rig.seen(it.StageNews)[-1]
             assert (last.answers_vote, last.phase, last.cap) == (True, it.Phase.GOING_BACK, 0.0)
@@ -715,22 +716,22 @@
     async def work() -> None:
         async with Rig(servers=1) as rig:
             report = b"TEXT cpu_utilization=0.5,named_metrics.inflight=3"
-            rig.servers[0].behave = raw(write_response(200, [(b"endpoint-load-metrics", report)], b""))
-            rig.runtime._act(it.Probe(1))
+            rig.servers[0].behave = answer_bytes(write_response(200, [(b"endpoint-load-metrics", report)], b""))
+            rig.runtime._execute(it.Probe(1))
             await rig.until(lambda: rig.seen(it.ProbeResult))
             probed = rig.seen(it.ProbeResult)[0]
             assert (probed.status, probed.load) == (it.Status.OK, (3.0, 0.5))
             assert len(rig.runtime.pool.open) == 1
-            rig.runtime._act(it.CloseIdle(1))
+            rig.runtime._execute(it.CloseIdle(1))
             await rig.until(lambda: not rig.runtime.pool.open)
-            rig.servers[0].behave = silent_server
+            rig.servers[0].behave = never_answer
             reader, writer = await rig.connect()
             writer.write(rig.ask("race-entry"))
             await rig.until(lambda: len(rig.servers[0].got) == 2)
-            rig.runtime._act(it.Cancel(1, 0))
+            rig.runtime._execute(it.Cancel(1, 0))
             assert kind((await rig.answers(reader))[0]) == "failed"
             assert outcomes(rig) == [it.Status.CANCELLED]
-            rig.runtime._act(it.Send(1, 1, 0.0))  # over: nothing may leave
+            rig.runtime._execute(it.Send(1, 1, 0.0))  # the request has ended: nothing is sent
             assert len(rig.servers[0].got) == 2
 
     run(work)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -34,7 +34,11 @@
             assert got[b"id-queue-join"][1::3] == [b"id-queue-join" * 2, b"the body\r\n\0"]
             options = got[b"id-race-entry"][3].split(b",")
             assert options[:2] == [b"c=race-entry", b"t=first"] and 0 < int(options[2][2:]) <= 2000
-            assert values(rig) == [(it.Status.OK, (1.0,))] * 3 and not rig.node.held and not rig.node.front.ids
+            assert (
+                values(rig) == [(it.Status.OK, (1.0,))] * 3
+                and not rig.node.open_requests
+                and not rig.node.front.ids
+            )
 
     run(work)
 
@@ -153,7 +157,7 @@
             await rig.until(lambda: rig.node.front.max_clients >= len(rig.node.front.clients) > 1)
             await rig.until(lambda: len(rig.node.front.clients) == 1)
             assert [await answer(reader) for reader, _ in crowd] == [b""] * 60
-            assert rig.node.held and not rig.seen(it.Abandoned)
+            assert rig.node.open_requests and not rig.seen(it.Abandoned)
             del working
 
     run(work)
@@ -327,7 +331,7 @@
             assert 0 < len(rig.appliances[1].got) <= 2 + 0.25 * 40
             before = len(rig.appliances[1].got)
             rig.desk.answer = lambda _: b"OK 2 0 recalling 0 1\r\n"
-            rig.node._act(it.CastVote(2, 0, it.Verdict.BACK))
+            rig.node._execute(it.CastVote(2, 0, it.Verdict.BACK))
             await rig.until(lambda: rig.node._agent.news.phase is it.Phase.GOING_BACK)
             assert rig.desk.votes == [b"SAY 2 0 ROLLBACK"]
             for _ in range(10):
@@ -355,12 +359,12 @@
         async with Rig() as rig:
             opened = rig.desk.opened
             rig.desk.answer = lambda _: answer_line
-            rig.node._act(it.CastVote(1, 0, it.Verdict.BACK))
+            rig.node._execute(it.CastVote(1, 0, it.Verdict.BACK))
             await rig.until(lambda: [n for n in rig.seen(it.StageNews) if n.answers_vote])
             assert [n.status for n in rig.seen(it.StageNews) if n.answers_vote] == [status]
             if status is it.Status.TIMEOUT:
                 await rig.until(lambda: rig.desk.opened > opened)
-            assert not rig.node._voting
+            assert not rig.node._vote_in_flight
 
     run(work)
 
@@ -474,7 +478,7 @@
             rig.appliances[0].behave = never_answer
             reader, writer = await rig.connect()
             writer.write(rig.encode_request(id="one"))
-            await rig.until(lambda: rig.node.held)
+            await rig.until(lambda: rig.node.open_requests)
             assert await rig.exchange(rig.encode_request(id="two")) == b"-BUSY" and len(rig.seen(it.Request)) == 1
             names = RequestReader.from_settings(rig.node.settings).classes
             assert list(names) == [b"lobby-read", b"queue-join", b"race-entry"]
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
 from test_auditor import AllAreSafe, NeverCold, NeverDrains, NoCap, NoFinalAnswers
 
 from otterquay import interface as it
-from otterquay.agent.feeds import DeskBook, FleetBook
+from otterquay.agent.feeds import DeskRecord, FleetRegistry
 from otterquay.lab.disk import FaultDisk
 from otterquay.lab.simloop import simulate
 from otterquay.policy import agent as policy
@@ -48,8 +48,8 @@
     def start(self, now: float) -> None:
         self.agent = self.make_agent(self.config, self.seed)
         self.fleet, self.desk = (
-            FleetBook(ZONES),
-            DeskBook(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
+            FleetRegistry(ZONES),
+            DeskRecord(["read", "join", "buy"], len(self.config.rollout.stage_cap)),
         )
         self.open_attempts: list[
             tuple[int, int, int, float, float]
@@ -82,12 +82,12 @@
             self.entries.update({e.server: e for e in changed})
         entries = list(self.entries.values()) if base is None else list(changed)
         event = news.FleetNews(new_version, entries, old_version if base == -1 else base)
-        self.deliver(now, self.fleet.heard(f"l:{new_version}", event, now))
+        self.deliver(now, self.fleet.apply_event(f"l:{new_version}", event, now))
 
     def update_stage(self, now: float, build: int, stage: int, phase: str, cap: float) -> None:
         self.desk_number += 1
         event = news.Stage(build, stage, phase, cap, 0.0)  # type: ignore[arg-type]
-        self.deliver(now, self.desk.heard(f"d:{self.desk_number}", "stage", msgspec.json.encode(event), now))
+        self.deliver(now, self.desk.apply_event(f"d:{self.desk_number}", "stage", msgspec.json.encode(event), now))
 
 
 class Play:
@@ -394,13 +394,13 @@
                     capped = loop.time()
                 case "restart":
                     rig.runtime.close()
-                    await rig.up(rig.list.listener.address, rig.desk.listener.address)
+                    await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
             await asyncio.sleep(gap_s)
         for _ in range(8):  # retries fail, too, until time runs out
             await fail_held()
             await asyncio.sleep(0.5)
-        if rig.runtime.held:
-            faults.append(f"held at the end: {list(rig.runtime.held)}")
+        if rig.runtime.open_requests:
+            faults.append(f"held at the end: {list(rig.runtime.open_requests)}")
         for writer in rig.writers:
             writer.close()
         await asyncio.gather(*ends)
