--- a/otterquay/cores/out.py
+++ b/otterquay/cores/effects.py
@@ -37,14 +37,16 @@
 
 
 @dataclass(slots=True)
-class Out:
+class Effects:
     """One step's wishes, in order within each kind."""
 
     writes: list[Write] = field(default_factory=list)
     sends: list[Send] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
-    lines: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
-    lasting: list[Callable[[float], None]] = field(default_factory=list)  # run with the time once the writes last
+    log_lines: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
+    on_durable: list[Callable[[float], None]] = field(
+        default_factory=list
+    )  # run with the time once the writes last
 
     def write(self, table: str, key: bytes, value: bytes | None) -> None:
         """Keep a value, before anything of this step leaves."""
@@ -58,10 +60,10 @@
         """Ask the yard."""
         self.calls.append(Call(tag, request))
 
-    def say(self, event: str, **fields: Any) -> None:
+    def log(self, event: str, **fields: Any) -> None:
         """A log line."""
-        self.lines.append((event, fields))
+        self.log_lines.append((event, fields))
 
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether there is nothing to do."""
-        return not (self.writes or self.sends or self.calls or self.lines or self.lasting)
+        return not (self.writes or self.sends or self.calls or self.log_lines or self.on_durable)
--- a/otterquay/cores/lives.py
+++ b/otterquay/cores/incarnations.py
@@ -5,19 +5,19 @@
 
 import random
 
-BITS = 20
+RANDOM_BITS = 20
 
 
-def begin(start: int, rng: random.Random) -> int:
+def new_incarnation(start: int, rng: random.Random) -> int:
     """The life of a disk's start of that number."""
-    return start << BITS | rng.getrandbits(BITS)
+    return start << RANDOM_BITS | rng.getrandbits(RANDOM_BITS)
 
 
-def start_of(life: int) -> int:
+def start_number(incarnation: int) -> int:
     """Which start of its disk a life is."""
-    return life >> BITS
+    return incarnation >> RANDOM_BITS
 
 
-def later(life: int, known: int) -> bool:
+def is_later(incarnation: int, known: int) -> bool:
     """Whether a life began after one that is known; one that is neither it nor later is of an older copy."""
-    return life >> BITS > known >> BITS
+    return incarnation >> RANDOM_BITS > known >> RANDOM_BITS
--- a/otterquay/duties/calls.py
+++ b/otterquay/duties/calls.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
-from otterquay.duties.errand import Answer, Request
+from otterquay.duties.yard_orders import Answer, Request
 
-Ask = Callable[[Request, Callable[[float, Answer, Out], None], Out], None]
-Propose = Callable[[float, cm.Command, Callable[[float, cm.Result, Out], None], Out], bool]
+Ask = Callable[[Request, Callable[[float, Answer, Effects], None], Effects], None]
+Propose = Callable[[float, cm.Command, Callable[[float, cm.Result, Effects], None], Effects], bool]
--- a/otterquay/duties/commands.py
+++ b/otterquay/duties/commands.py
@@ -8,11 +8,11 @@
 from msgspec import Meta
 
 from otterquay.cores.bounds import Agent, Blob, Name, Number, Share, Text
-from otterquay.duties.spread.book import Assign, Looked
+from otterquay.duties.posts.records import Assign, Looked
 from otterquay.duties.token import Token
 
 Count = Annotated[int, Meta(ge=-1024, le=1024)]
-ACTS_MOST = 256  # acts in one command
+MAX_ACTS = 256  # acts in one command
 
 
 class Join(msgspec.Struct, tag="join", array_like=True, frozen=True):
@@ -104,7 +104,7 @@
 
     site: Name
     token: Token
-    acts: Annotated[list[Act], Meta(max_length=ACTS_MOST)]
+    acts: Annotated[list[Act], Meta(max_length=MAX_ACTS)]
     last: bool
 
 
@@ -117,7 +117,7 @@
 
     duty: Name
     token: Token
-    acts: Annotated[list[Act], Meta(max_length=ACTS_MOST)]
+    acts: Annotated[list[Act], Meta(max_length=MAX_ACTS)]
     spent: Number
     last: bool
 
@@ -161,7 +161,7 @@
     """An agent's command; the same life and number again is the same proposal and is not done twice."""
 
     agent: Agent
-    life: Number
+    incarnation: Number
     number: Number
     command: Command
 
--- a/otterquay/duties/lease.py
+++ b/otterquay/duties/lease.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTerms:
     """Seconds of a lease, and by what part a clock may run fast or slow."""
 
     lease: float = 4.0
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class OwnedDuty:
     """A duty that this agent owns, as far as it knows."""
 
     token: Token
@@ -44,10 +44,10 @@
 
 
 @dataclass(slots=True)
-class Book:
+class LeaseRegistry:
     """The leader's: when each lease was last seen to begin. Volatile: a fresh leader begins a fresh book."""
 
-    terms: Terms
+    terms: LeaseTerms
     since: dict[str, tuple[Token, int, float]] = field(default_factory=dict)
     asked: dict[str, float] = field(default_factory=dict)  # when an expiry was last proposed
 
@@ -55,7 +55,7 @@
         """Leases that have run out for sure, with the renewals that were counted."""
         found = []
         begun = not self.since  # the first look: what is there already counts from this leader's first entry
-        for name, duty in duties.whole.duties.items():
+        for name, duty in duties.group_state.duties.items():
             token, renewals, at = self.since.get(name, (None, -1, 0.0))
             if (token, renewals) != (duty.token, duty.renewals):
                 at = led_at if begun else now
--- a/otterquay/duties/messages.py
+++ b/otterquay/duties/messages.py
@@ -9,7 +9,7 @@
 
 from otterquay.cores.bounds import Agent, Blob, Name, Number, Seconds, Share, Small
 from otterquay.duties.commands import Proposal, Result
-from otterquay.duties.spread.names import POSTS_MOST, PostName
+from otterquay.duties.posts.names import MAX_POSTS, PostName
 from otterquay.duties.state import OrderState
 from otterquay.duties.token import Token
 
@@ -23,7 +23,7 @@
 class Done(msgspec.Struct, tag="done", array_like=True, frozen=True):
     """It is committed; what came of it."""
 
-    life: Number
+    incarnation: Number
     number: Number
     result: Result
 
@@ -31,7 +31,7 @@
 class Elsewhere(msgspec.Struct, tag="elsewhere", array_like=True, frozen=True):
     """This member does not lead; perhaps that one does."""
 
-    life: Number
+    incarnation: Number
     number: Number
     leader: Agent | None
 
@@ -39,14 +39,14 @@
 class Status(msgspec.Struct, tag="status", array_like=True, frozen=True):
     """An agent tells the leader that it is there, which coordinators it followed, and what it knows as reserved."""
 
-    life: Number
+    incarnation: Number
     site: Name
     followed: Annotated[list[Token], Meta(max_length=128)]
     spent: Number
     cut: bool  # whether it follows a coordinator right now
     number: Number = 0  # rises with each; 0: it takes no posts
     applied: Number = 0  # the newest of them whose answer it has applied
-    holding: Annotated[list[Number], Meta(max_length=POSTS_MOST)] = []  # tokens of its posts
+    holding: Annotated[list[Number], Meta(max_length=MAX_POSTS)] = []  # tokens of its posts
 
 
 class SiteBeat(msgspec.Struct, array_like=True, frozen=True):
@@ -64,14 +64,14 @@
 class Beat(msgspec.Struct, tag="beat", array_like=True, frozen=True):
     """A leader that a majority answers replies to a status: what duties are free, and the agent's own site."""
 
-    life: Number
+    incarnation: Number
     owners: dict[Name, Agent | None]
     site: SiteBeat
     caps: Annotated[dict[Number, Share], Meta(max_length=256)]
     table: Number  # version of the table of run times
     epoch: Number
     number: Number = 0  # of the status that this answers
-    posts: Annotated[list[tuple[PostName, Token]], Meta(max_length=POSTS_MOST)] | None = None  # held from now on
+    posts: Annotated[list[tuple[PostName, Token]], Meta(max_length=MAX_POSTS)] | None = None  # held from now on
 
 
 class AskBooks(msgspec.Struct, tag="ask-books", array_like=True, frozen=True):
--- a/otterquay/duties/spread/chief.py
+++ b/otterquay/duties/posts/assigner.py
@@ -11,15 +11,15 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from otterquay.cores.lives import later
-from otterquay.duties.lease import Terms
-from otterquay.duties.spread.book import MOVES_MOST, Placed, Post, Posts
-from otterquay.duties.spread.placing import place
-from otterquay.duties.spread.progress import Progress
+from otterquay.cores.incarnations import is_later
+from otterquay.duties.lease import LeaseTerms
+from otterquay.duties.posts.placement import place_posts
+from otterquay.duties.posts.progress import Progress
+from otterquay.duties.posts.records import MAX_MOVES, Placed, Post, Posts
 from otterquay.duties.token import Token
 
 SETTLED_S = 2.0  # an agent is heard for so long before it is handed anything
-STEP_S = 0.25
+PLACEMENT_INTERVAL_S = 0.25
 SLOWEST = 1 / 8  # the least part of an agent that is behind again and again
 BARRED = 4.0  # times `owes`: how long one that was behind is not given that post
 
@@ -30,7 +30,7 @@
 
     at: float
     since: float
-    life: int
+    incarnation: int
     number: int
     applied: int
     holding: frozenset[int]
@@ -45,10 +45,10 @@
 
 
 @dataclass(slots=True)
-class Chief:
+class PostAssigner:
     """Volatile, one for each term. `gap` is after how long unheard an agent gets no more. Seconds of this clock."""
 
-    terms: Terms
+    terms: LeaseTerms
     gap: float
     since: float
     progress: Progress
@@ -67,7 +67,7 @@
         self,
         now: float,
         agent: int,
-        life: int,
+        incarnation: int,
         number: int,
         applied: int,
         holding: Sequence[int],
@@ -75,12 +75,12 @@
     ) -> list[tuple[str, Token]] | None:
         """What the agent holds from now on; None for a status that is older than one answered."""
         was = self.heard.get(agent)
-        if was and was.life == life and number <= was.number:
+        if was and was.incarnation == incarnation and number <= was.number:
             return None
-        if was and was.life != life and not later(life, was.life):
+        if was and was.incarnation != incarnation and not is_later(incarnation, was.incarnation):
             return None
-        since = was.since if was and was.life == life and now - was.at <= self.gap else now
-        self.heard[agent] = Heard(now, since, life, number, applied, frozenset(holding))
+        since = was.since if was and was.incarnation == incarnation and now - was.at <= self.gap else now
+        self.heard[agent] = Heard(now, since, incarnation, number, applied, frozenset(holding))
         if self.indexed != state.assigned:  # once an assignment, not once a status: agents times posts are many
             self.indexed, self.by_owner = state.assigned, {}
             for name, post in state.posts.items():
@@ -88,7 +88,7 @@
         told = []
         for name in self.by_owner.get(agent, ()):
             post = state.posts[name]
-            if post.life != life:
+            if post.incarnation != incarnation:
                 continue
             if name in self.pending:
                 continue  # it changes hands as soon as the log has it
@@ -111,7 +111,7 @@
         if post.owner is None:
             return True
         heard, out = self.heard.get(post.owner), self.leaving.get(name)
-        if heard and heard.life != post.life:
+        if heard and heard.incarnation != post.incarnation:
             return True  # a later start of it speaks: that life has ended
         if now > self.leases.get(post.owner, self.since + self.terms.group):
             return True
@@ -139,7 +139,7 @@
 
     def step(self, now: float, wanted: Sequence[str], state: Posts) -> list[Placed]:
         """Moves to be proposed now; to be called from `next_at` on."""
-        self.next_at = now + STEP_S
+        self.next_at = now + PLACEMENT_INTERVAL_S
         for name, agent in self.progress.posts(now, state):
             heard = self.heard.get(agent)
             if heard is None or now - heard.at > self.gap:
@@ -153,7 +153,7 @@
         if self.pending:
             return []  # what this leader has proposed comes into the log, or it leads no more
         weights = self.weights(now)
-        moves = self._moves(now, wanted, state, weights)[:MOVES_MOST]
+        moves = self._moves(now, wanted, state, weights)[:MAX_MOVES]
         self.pending = {move.post for move in moves}
         return moves
 
@@ -167,12 +167,17 @@
         for name in wanted:
             post = state.posts.get(name)
             owner = post.owner if post is not None else None
-            if post is not None and owner in weights and owner is not None and self.heard[owner].life == post.life:
+            if (
+                post is not None
+                and owner in weights
+                and owner is not None
+                and self.heard[owner].incarnation == post.incarnation
+            ):
                 held[name] = owner
             elif post is not None and not self.free(now, name, post):
                 continue  # its holder is not heard, and may still hold it
             movable.append(name)
-        found = place(
+        found = place_posts(
             movable,
             weights,
             held,
@@ -182,12 +187,12 @@
         moves = []
         for name, agent in found.items():
             post = state.posts.get(name)
-            life = self.heard[agent].life
-            if post is not None and (post.owner, post.life) == (agent, life):
+            incarnation = self.heard[agent].incarnation
+            if post is not None and (post.owner, post.incarnation) == (agent, incarnation):
                 self.leaving.pop(name, None)
             elif post is None or self.free(now, name, post):
                 self.leaving.pop(name, None)
-                moves.append(Placed(name, agent, life))
+                moves.append(Placed(name, agent, incarnation))
             elif name not in self.leaving or self.leaving[name].token != post.token:
                 self.leaving[name] = Leaving(post.token)
         return moves
--- a/otterquay/duties/spread/holder.py
+++ b/otterquay/duties/posts/holder.py
@@ -10,17 +10,17 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from otterquay.duties.lease import Terms
+from otterquay.duties.lease import LeaseTerms
 from otterquay.duties.token import Token
 
-SENT_MOST = 64  # statuses whose answer may still come
+MAX_SENT_STATUSES = 64  # statuses whose answer may still come
 
 
 @dataclass(slots=True)
 class Holder:
     """Times are seconds of this agent's clock."""
 
-    terms: Terms
+    terms: LeaseTerms
     number: int = 0
     applied: int = 0
     until: float = -1e9
@@ -31,7 +31,7 @@
         """For a status that leaves now: its number, the newest answer applied, and the tokens held."""
         self.number += 1
         self._sent[self.number] = now
-        while len(self._sent) > SENT_MOST:
+        while len(self._sent) > MAX_SENT_STATUSES:
             del self._sent[next(iter(self._sent))]
         return self.number, self.applied, sorted(token.group for token in self.held(now).values())
 
--- a/otterquay/duties/spread/names.py
+++ b/otterquay/duties/posts/names.py
@@ -9,15 +9,15 @@
 
 PostName = Annotated[str, Meta(min_length=1, max_length=136)]
 LOOK = "look"
-POSTS_MOST = 4096  # beyond them a site's kind is looked at by nobody
+MAX_POSTS = 4096  # beyond them a site's kind is looked at by nobody
 
 
-def post_of(site: str, kind: str) -> str:
+def post_name(site: str, kind: str) -> str:
     """The post of a site and kind."""
     return f"{LOOK}/{site}/{kind}"
 
 
-def place_of(post: str) -> tuple[str, str]:
+def site_and_kind(post: str) -> tuple[str, str]:
     """Its site and kind; ValueError for what is no post."""
     parts = post.split("/", 2)
     if len(parts) != 3 or parts[0] != LOOK or not all(parts):
@@ -25,7 +25,7 @@
     return parts[1], parts[2]
 
 
-def posts_of(sites: Iterable[str], kinds: Mapping[str, Iterable[str]]) -> list[str]:
+def post_names(sites: Iterable[str], kinds: Mapping[str, Iterable[str]]) -> list[str]:
     """All posts of these sites and their kinds, in order, within the bound."""
-    found = sorted({post_of(site, kind) for site in sites for kind in kinds.get(site, ())})
-    return found[:POSTS_MOST]
+    found = sorted({post_name(site, kind) for site in sites for kind in kinds.get(site, ())})
+    return found[:MAX_POSTS]
--- a/otterquay/duties/spread/placing.py
+++ b/otterquay/duties/posts/placement.py
@@ -28,7 +28,7 @@
     return {agent: posts * weight / whole for agent, weight in weights.items()}
 
 
-def place(
+def place_posts(
     posts: Collection[str],
     weights: Mapping[int, float],
     held: Mapping[str, int],
--- a/otterquay/duties/spread/progress.py
+++ b/otterquay/duties/posts/progress.py
@@ -11,8 +11,8 @@
 from collections.abc import Hashable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from otterquay.duties.spread.book import Posts
-from otterquay.duties.spread.names import place_of, post_of
+from otterquay.duties.posts.names import post_name, site_and_kind
+from otterquay.duties.posts.records import Posts
 
 MANY = 1 / 3  # of the owners behind at once, over which it is not theirs
 STUCK = 3.0  # times `owes`: an order on its way that does not move at all
@@ -53,9 +53,9 @@
         for name, post in state.posts.items():
             if post.owner is None:
                 continue
-            site, _ = place_of(name)
+            site, _ = site_and_kind(name)
             holders.setdefault(site, set()).add(post.owner)
-            silent = self.overdue.unchanged(now, (name, "told"), (post.token, post.told))
+            silent = self.overdue.unchanged(now, (name, "told"), (post.token, post.report_count))
             lags = post.version < state.versions.get(site, 0)
             late = self.overdue.unchanged(now, (name, "lags"), (post.token, post.version if lags else -1))
             if silent > self.owes or (lags and late > self.owes):
@@ -69,9 +69,9 @@
             return []
         by_site: dict[str, set[int]] = {}
         for name, owner in behind:
-            by_site.setdefault(place_of(name)[0], set()).add(owner)
+            by_site.setdefault(site_and_kind(name)[0], set()).add(owner)
         closed = {site for site, owners in by_site.items() if len(owners) > 1 and owners == holders[site]}
-        return [(name, owner) for name, owner in behind if place_of(name)[0] not in closed]
+        return [(name, owner) for name, owner in behind if site_and_kind(name)[0] not in closed]
 
     def sites(
         self,
@@ -88,8 +88,8 @@
             seen: list[object] = []
             brought: list[int] = []
             for kind, count in wants.get(site, {}).items():
-                post = state.posts.get(post_of(site, kind))
-                if post is None or not post.told:
+                post = state.posts.get(post_name(site, kind))
+                if post is None or not post.report_count:
                     continue  # nobody has looked: nothing is known against the owner
                 missing += max(count - post.alive - post.coming, 0)
                 moving += post.coming
--- a/otterquay/duties/spread/book.py
+++ b/otterquay/duties/posts/records.py
@@ -12,10 +12,10 @@
 from msgspec import Meta
 
 from otterquay.cores.bounds import Agent, Name, Number
-from otterquay.duties.spread.names import POSTS_MOST, PostName, place_of
+from otterquay.duties.posts.names import MAX_POSTS, PostName, site_and_kind
 from otterquay.duties.token import NONE, Token
 
-MOVES_MOST = 512  # posts in one command
+MAX_MOVES = 512  # posts in one command
 
 
 class Placed(msgspec.Struct, array_like=True, frozen=True):
@@ -23,13 +23,13 @@
 
     post: PostName
     agent: Agent | None
-    life: Number = 0
+    incarnation: Number = 0
 
 
 class Assign(msgspec.Struct, tag="assign", array_like=True, frozen=True):
     """The leader's word: these posts change hands, each under a token of its own."""
 
-    moves: Annotated[list[Placed], Meta(max_length=MOVES_MOST)]
+    moves: Annotated[list[Placed], Meta(max_length=MAX_MOVES)]
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
@@ -48,7 +48,7 @@
 class Looked(msgspec.Struct, tag="looked", array_like=True, frozen=True):
     """An agent's reports on the posts that it holds, as many as it has news of."""
 
-    reports: Annotated[list[Report], Meta(max_length=MOVES_MOST)]
+    reports: Annotated[list[Report], Meta(max_length=MAX_MOVES)]
 
 
 class Post(msgspec.Struct, array_like=True):
@@ -56,8 +56,8 @@
 
     token: Token = NONE
     owner: Agent | None = None
-    life: int = 0
-    told: int = 0
+    incarnation: int = 0
+    report_count: int = 0
     version: int = 0
     alive: int = 0
     coming: int = 0
@@ -82,32 +82,32 @@
         self.assigned += 1
         for move in moves:
             try:
-                place_of(move.post)
+                site_and_kind(move.post)
             except ValueError:
                 continue
             post = self.posts.get(move.post)
             if post is None:
-                if len(self.posts) >= POSTS_MOST:
+                if len(self.posts) >= MAX_POSTS:
                     continue
                 post = self.posts[move.post] = Post()
-            post.owner, post.life, post.told = move.agent, move.life, 0
+            post.owner, post.incarnation, post.report_count = move.agent, move.incarnation, 0
             if move.agent is not None:
                 post.token = token()
                 given.append((move.post, post.token))
         return given
 
-    def looked(self, agent: int, life: int, reports: list[Report]) -> int:
+    def record_reports(self, agent: int, incarnation: int, reports: list[Report]) -> int:
         """Take what was told under the newest tokens; how many reports were refused."""
         refused = 0
         for report in reports:
             post = self.posts.get(report.post)
-            if post is None or post.token != report.token or (post.owner, post.life) != (agent, life):
+            if post is None or post.token != report.token or (post.owner, post.incarnation) != (agent, incarnation):
                 refused += 1
                 continue
-            post.told += 1
+            post.report_count += 1
             if report.version >= post.version:
                 post.version, post.alive = report.version, report.alive
                 post.coming, post.brought = report.coming, report.brought
-            site, _ = place_of(report.post)
+            site, _ = site_and_kind(report.post)
             self.versions[site] = max(self.versions.get(site, 0), report.version)
         return refused
--- a/otterquay/duties/state.py
+++ b/otterquay/duties/state.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from otterquay.cores.lives import later
+from otterquay.cores.incarnations import is_later
 from otterquay.duties import commands as cm
-from otterquay.duties.spread.book import Assign, Looked, Posts
+from otterquay.duties.posts.records import Assign, Looked, Posts
 from otterquay.duties.token import CAPACITY, NONE, Token, duty_of, site_of
 
 OPEN_MOST = 64  # open orders of one duty
@@ -43,7 +43,7 @@
 
     token: Token = NONE
     owner: int | None = None
-    life: int = 0
+    incarnation: int = 0
     renewals: int = 0
 
 
@@ -65,12 +65,12 @@
 class AgentState(msgspec.Struct, array_like=True):
     """The newest life of an agent, its last proposal and what came of it."""
 
-    life: int
+    incarnation: int
     number: int
     result: cm.Result
 
 
-class Whole(msgspec.Struct, array_like=True):
+class GroupState(msgspec.Struct, array_like=True):
     """All of it."""
 
     bound: int
@@ -95,12 +95,12 @@
 
     def __init__(self, sites: list[str], bound: int) -> None:
         self.sites, self.bound = sites, bound
-        self.whole = self._fresh()
+        self.group_state = self._fresh()
         self.closed: dict[str, None] = {}  # ids of closed orders, the oldest first
         self.watch: Callable[[cm.Proposal, cm.Result], None] = lambda proposal, result: None
 
-    def _fresh(self) -> Whole:
-        return Whole(
+    def _fresh(self) -> GroupState:
+        return GroupState(
             self.bound,
             duties={CAPACITY: DutyState(), **{duty_of(s): DutyState() for s in self.sites}},
             sites={s: SiteState() for s in self.sites},
@@ -111,12 +111,12 @@
     # --- snapshots ---
     def dump(self) -> bytes:
         """All of it as bytes."""
-        return msgspec.msgpack.encode((self.whole, list(self.closed)))
+        return msgspec.msgpack.encode((self.group_state, list(self.closed)))
 
     def load(self, state: bytes) -> None:
         """Put in place what `dump` gave."""
-        found: tuple[Whole, list[str]] = msgspec.msgpack.decode(state, type=tuple[Whole, list[str]])
-        self.whole, self.closed = found[0], dict.fromkeys(found[1])
+        found: tuple[GroupState, list[str]] = msgspec.msgpack.decode(state, type=tuple[GroupState, list[str]])
+        self.group_state, self.closed = found[0], dict.fromkeys(found[1])
 
     # --- commands ---
     def apply(self, index: int, data: bytes) -> cm.Result:
@@ -125,15 +125,19 @@
             proposal = cm.decode(data)
         except msgspec.MsgspecError as error:  # written by a later version: every member refuses it alike
             return cm.Result(False, f"not understood: {error}"[:200])
-        agent = self.whole.agents.get(proposal.agent)
-        if agent and proposal.life != agent.life and not later(proposal.life, agent.life):
-            return cm.Result(False, "an earlier life", token=Token(agent.life))
-        if agent and proposal.life == agent.life and proposal.number <= agent.number:
+        agent = self.group_state.agents.get(proposal.agent)
+        if (
+            agent
+            and proposal.incarnation != agent.incarnation
+            and not is_later(proposal.incarnation, agent.incarnation)
+        ):
+            return cm.Result(False, "an earlier life", token=Token(agent.incarnation))
+        if agent and proposal.incarnation == agent.incarnation and proposal.number <= agent.number:
             return agent.result if proposal.number == agent.number else cm.Result(False, "done before")
-        if agent is None and len(self.whole.agents) >= AGENTS_MOST:
+        if agent is None and len(self.group_state.agents) >= AGENTS_MOST:
             return cm.Result(False, "too many agents")
         result = self._do(proposal, proposal.command)
-        self.whole.agents[proposal.agent] = AgentState(proposal.life, proposal.number, result)
+        self.group_state.agents[proposal.agent] = AgentState(proposal.incarnation, proposal.number, result)
         self.watch(proposal, result)
         return result
 
@@ -156,7 +160,7 @@
                 duty.owner = None
                 return cm.Result(True)
             case cm.Expire():
-                found = self.whole.duties.get(command.duty)
+                found = self.group_state.duties.get(command.duty)
                 if not found or found.token != command.token or found.renewals != command.renewals:
                     return cm.Result(False, "renewed meanwhile")
                 found.owner = None
@@ -181,66 +185,66 @@
                     return refused
                 return self._cap(command.build, command.cap)
             case Assign():
-                given = self.whole.spread.assign(command.moves, self._next)
+                given = self.group_state.spread.assign(command.moves, self._next)
                 return cm.Result(True, token=given[0][1] if given else NONE)  # the others follow, one by one
             case Looked():
-                older = self.whole.spread.looked(by.agent, by.life, command.reports)
+                older = self.group_state.spread.record_reports(by.agent, by.incarnation, command.reports)
                 return cm.Result(not older, f"{older} of {len(command.reports)} refused" if older else "")
 
     def _owned(self, name: str, token: Token, by: cm.Proposal | None) -> tuple[DutyState | None, cm.Result]:
         """The duty, where this token is the newest and its owner asks; else why not."""
-        duty = self.whole.duties.get(name)
+        duty = self.group_state.duties.get(name)
         if duty is None:
             return None, cm.Result(False, f"no duty {name}"[:200])
         if token != duty.token:
             return None, cm.Result(False, f"token {token} after {duty.token}")
-        if duty.owner is None or (by and (by.agent, by.life) != (duty.owner, duty.life)):
+        if duty.owner is None or (by and (by.agent, by.incarnation) != (duty.owner, duty.incarnation)):
             return None, cm.Result(False, "not the owner")
         return duty, cm.Result(True)
 
     def _join(self, by: cm.Proposal, join: cm.Join) -> cm.Result:
         """Once "new", from then on "known", with the newest token under which it may have promised something."""
-        duty = self.whole.duties.get(duty_of(join.site))
+        duty = self.group_state.duties.get(duty_of(join.site))
         if duty is None:
             return cm.Result(False, "no such site")
-        if by.agent in self.whole.joined:
+        if by.agent in self.group_state.joined:
             return cm.Result(True, "known", duty.token)
-        self.whole.joined.append(by.agent)
+        self.group_state.joined.append(by.agent)
         return cm.Result(True, "new", duty.token)
 
     def _claim(self, by: cm.Proposal, claim: cm.Claim) -> cm.Result:
-        duty = self.whole.duties.get(claim.duty)
+        duty = self.group_state.duties.get(claim.duty)
         if duty is None:
             return cm.Result(False, f"no duty {claim.duty}"[:200])
         if duty.owner is not None:
             return cm.Result(False, f"owned by {duty.owner}")
-        duty.token, duty.owner, duty.life = self._next(), by.agent, by.life
+        duty.token, duty.owner, duty.incarnation = self._next(), by.agent, by.incarnation
         duty.renewals += 1
         return cm.Result(True, token=duty.token)
 
     def _next(self) -> Token:
-        self.whole.tokens += 1
-        return Token(self.whole.tokens)
+        self.group_state.tokens += 1
+        return Token(self.group_state.tokens)
 
     # --- servers ---
-    def taken(self) -> int:
+    def committed_servers(self) -> int:
         """Servers that run or may still be started: orders, and what sites may still spend."""
         return (
-            sum(self.alive(site, kind) for site, kinds in self.whole.running.items() for kind in kinds)
-            + sum(max(o.count, 0) for o in self.whole.orders.values())
-            + sum(s.granted - s.spent for s in self.whole.sites.values())
+            sum(self.alive(site, kind) for site, kinds in self.group_state.running.items() for kind in kinds)
+            + sum(max(o.count, 0) for o in self.group_state.orders.values())
+            + sum(s.granted - s.spent for s in self.group_state.sites.values())
         )
 
     def alive(self, site: str, kind: str) -> int:
         """Servers of closed orders that still run."""
-        return max(self.whole.running[site].get(kind, 0) - self.whole.ended[site].get(kind, 0), 0)
+        return max(self.group_state.running[site].get(kind, 0) - self.group_state.ended[site].get(kind, 0), 0)
 
     def _ended(self, by: cm.Proposal, ended: cm.Ended) -> cm.Result:
         duty, refused = self._owned(ended.duty, ended.token, by)
         site = site_of(ended.duty)
         if duty is None or site is None:
             return refused if duty is None else cm.Result(False, "this duty has no servers")
-        kinds = self.whole.ended[site]
+        kinds = self.group_state.ended[site]
         if ended.kind not in kinds and len(kinds) >= KINDS_MOST:
             return cm.Result(False, "too many kinds")
         kinds[ended.kind] = max(ended.total, kinds.get(ended.kind, 0))
@@ -251,24 +255,24 @@
         site = site_of(order.duty)
         if duty is None or site is None:
             return refused if duty is None else cm.Result(False, "this duty orders nothing")
-        if order.id in self.whole.orders or order.id in self.closed:
+        if order.id in self.group_state.orders or order.id in self.closed:
             return cm.Result(True, "ordered before")
-        if sum(o.open and o.site == site for o in self.whole.orders.values()) >= OPEN_MOST:
+        if sum(o.open and o.site == site for o in self.group_state.orders.values()) >= OPEN_MOST:
             return cm.Result(False, "too many open orders")
         if order.count == 0 or (order.count < 0 and self.alive(site, order.kind) < -order.count):
             return cm.Result(False, "not so many run")
-        if order.kind not in self.whole.running[site] and len(self.whole.running[site]) >= KINDS_MOST:
+        if order.kind not in self.group_state.running[site] and len(self.group_state.running[site]) >= KINDS_MOST:
             return cm.Result(False, "too many kinds")
-        if order.count > 0 and self.taken() + order.count > self.whole.bound:
-            return cm.Result(False, f"over the bound of {self.whole.bound}")
-        self.whole.orders[order.id] = OrderState(site, order.kind, order.count, 0, order.token, True)
+        if order.count > 0 and self.committed_servers() + order.count > self.group_state.bound:
+            return cm.Result(False, f"over the bound of {self.group_state.bound}")
+        self.group_state.orders[order.id] = OrderState(site, order.kind, order.count, 0, order.token, True)
         return cm.Result(True, token=order.token)
 
     def _settle(self, by: cm.Proposal, settle: cm.Settle) -> cm.Result:
         duty, refused = self._owned(settle.duty, settle.token, by)
         if duty is None:
             return refused
-        order = self.whole.orders.get(settle.id)
+        order = self.group_state.orders.get(settle.id)
         if order is None:
             return cm.Result(settle.id in self.closed, "closed before")
         self._close(settle.id, order, settle.started, settle.final)
@@ -278,9 +282,9 @@
         order.started = started
         if not final:
             return
-        kinds = self.whole.running[order.site]
+        kinds = self.group_state.running[order.site]
         kinds[order.kind] = max(kinds.get(order.kind, 0) + started, 0)
-        del self.whole.orders[name]
+        del self.group_state.orders[name]
         self._remember(name)
 
     def _remember(self, name: str) -> None:
@@ -292,37 +296,37 @@
         duty, refused = self._owned(CAPACITY, allot.token, by)
         if duty is None:
             return refused
-        site = self.whole.sites.get(allot.site)
+        site = self.group_state.sites.get(allot.site)
         if site is None or allot.total < site.granted:
             return cm.Result(False, "no such site" if site is None else "an allowance is not taken back")
-        if self.taken() + allot.total - site.granted > self.whole.bound:
-            return cm.Result(False, f"over the bound of {self.whole.bound}")
+        if self.committed_servers() + allot.total - site.granted > self.group_state.bound:
+            return cm.Result(False, f"over the bound of {self.group_state.bound}")
         site.granted = allot.total
         return cm.Result(True)
 
     # --- what sites did while they were cut off ---
-    def _take(self, site: str, token: Token, acts: list[cm.Act]) -> None:
+    def _record_acts(self, site: str, token: Token, acts: list[cm.Act]) -> None:
         """Each act once, whoever tells it, in whatever pieces: what it started leaves the site's allowance."""
-        state = self.whole.sites[site]
+        state = self.group_state.sites[site]
         for act in acts:
             if act.what == "cap":  # it held within the site, for the cut alone
-                self.whole.acts += act.id not in self.closed
+                self.group_state.acts += act.id not in self.closed
                 self._remember(act.id)
                 continue
-            known = self.whole.orders.get(act.id)
+            known = self.group_state.orders.get(act.id)
             if known is None and act.id not in self.closed:
-                self.whole.orders[act.id] = OrderState(site, act.kind, act.count, act.started, token, True)
+                self.group_state.orders[act.id] = OrderState(site, act.kind, act.count, act.started, token, True)
                 if token > state.floor:
                     state.spent = min(state.spent + max(act.count, 0), state.granted)
-                self.whole.acts += 1
+                self.group_state.acts += 1
             elif known is not None:
                 known.started = max(known.started, act.started)
 
     def _handover(self, over: cm.Handover) -> cm.Result:
-        site = self.whole.sites.get(over.site)
+        site = self.group_state.sites.get(over.site)
         if site is None or over.token.term == 0:
             return cm.Result(False, "no coordinator of a site of ours")
-        self._take(over.site, over.token, over.acts)
+        self._record_acts(over.site, over.token, over.acts)
         if over.last:
             self._close_journal(site, over.token)
         return cm.Result(True, token=over.token)
@@ -339,16 +343,16 @@
         owner, refused = self._owned(found.duty, found.token, by)
         if owner is None:
             return refused
-        self._take(site, found.token, found.acts)
+        self._record_acts(site, found.token, found.acts)
         if found.last:
-            state = self.whole.sites[site]
+            state = self.group_state.sites[site]
             state.spent = max(state.spent, min(found.spent, state.granted))
             state.floor, state.closed = found.token, []
         return cm.Result(True, token=found.token)
 
     def open_journals(self, site: str, followed: Iterable[Token]) -> list[Token]:
         """Of coordinators that agents of a site say they followed, those whose journals are not taken."""
-        state = self.whole.sites[site]
+        state = self.group_state.sites[site]
         return sorted(t for t in set(followed) if t > state.floor and t not in state.closed)
 
     # --- the rest ---
@@ -356,14 +360,14 @@
         duty, refused = self._owned(CAPACITY, publish.token, by)
         if duty is None:
             return refused
-        if publish.version <= self.whole.table_version:
-            return cm.Result(False, f"version {publish.version} after {self.whole.table_version}")
-        self.whole.table, self.whole.table_version = publish.table, publish.version
-        self.whole.table_token = publish.token
+        if publish.version <= self.group_state.table_version:
+            return cm.Result(False, f"version {publish.version} after {self.group_state.table_version}")
+        self.group_state.table, self.group_state.table_version = publish.table, publish.version
+        self.group_state.table_token = publish.token
         return cm.Result(True)
 
     def _cap(self, build: int, cap: float) -> cm.Result:
-        caps = self.whole.caps
+        caps = self.group_state.caps
         caps[build] = min(cap, caps.get(build, 1.0))
         while len(caps) > CAPS_MOST:
             del caps[min(caps)]  # the oldest build: long released or gone
@@ -371,4 +375,4 @@
 
     def digest(self) -> Any:
         """What operators and tests compare."""
-        return msgspec.to_builtins(self.whole)
+        return msgspec.to_builtins(self.group_state)
--- a/otterquay/duties/errand.py
+++ b/otterquay/duties/yard_orders.py
@@ -31,7 +31,7 @@
     body: bytes = b""
 
 
-class Ordered(msgspec.Struct, frozen=True):
+class YardOrder(msgspec.Struct, frozen=True):
     """An order as the yard has it."""
 
     id: Name
@@ -42,29 +42,29 @@
     cancelled: bool = False
 
 
-class Listed(msgspec.Struct, frozen=True):
+class SiteListing(msgspec.Struct, frozen=True):
     """A site as the yard has it: orders, servers that ended by themselves, the newest token seen."""
 
-    orders: Annotated[list[Ordered], Meta(max_length=4096)]
+    orders: Annotated[list[YardOrder], Meta(max_length=4096)]
     alive: dict[str, int]
     ended: dict[str, Number]
     fence: str
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class OrderBody(msgspec.Struct, frozen=True):
     """The body of an order."""
 
     kind: Name
     count: int
 
 
-STALE, CHANGED = 409, 412
-AGAIN_S, WAIT_S = 0.4, 3.0
-TRIES = 6  # with the yard answering and starting only a part: then the rest is cancelled
+STATUS_STALE_TOKEN, STATUS_CHANGED = 409, 412
+RETRY_DELAY_S, ANSWER_TIMEOUT_S = 0.4, 3.0
+MAX_ATTEMPTS = 6  # with the yard answering and starting only a part: then the rest is cancelled
 
 
 @dataclass(slots=True)
-class Errand:
+class PendingOrder:
     """One order on its way. `step` gives the next request, `answer` what came of it."""
 
     site: str
@@ -85,11 +85,13 @@
         """A request to be sent now."""
         if self.final or self.stale or self.out or now < self.next_at:
             return None
-        self.out, self.next_at = True, now + WAIT_S
+        self.out, self.next_at = True, now + ANSWER_TIMEOUT_S
         path = f"/sites/{self.site}/orders"
         if self.cancel:
             return Request("DELETE", f"{path}/{self.id}", self.token, self.id, self.etag)
-        return Request("POST", path, self.token, self.id, body=msgspec.json.encode(Wanted(self.kind, self.count)))
+        return Request(
+            "POST", path, self.token, self.id, body=msgspec.json.encode(OrderBody(self.kind, self.count))
+        )
 
     def overdue(self, now: float) -> None:
         """No answer came: it may have been done, so it is asked again under the same id."""
@@ -98,14 +100,14 @@
 
     def answer(self, now: float, answer: Answer) -> None:
         """The yard's answer."""
-        self.out, self.next_at = False, now + AGAIN_S
-        if answer.status == STALE:
+        self.out, self.next_at = False, now + RETRY_DELAY_S
+        if answer.status == STATUS_STALE_TOKEN:
             self.stale = True
-        elif answer.status == CHANGED:
-            self.cancel, self.tries = False, TRIES - 1  # it has gone on meanwhile: look again
+        elif answer.status == STATUS_CHANGED:
+            self.cancel, self.tries = False, MAX_ATTEMPTS - 1  # it has gone on meanwhile: look again
         elif answer.status in (200, 201, 202):
             try:
-                found: Ordered = msgspec.json.decode(answer.body, type=Ordered)
+                found: YardOrder = msgspec.json.decode(answer.body, type=YardOrder)
             except msgspec.MsgspecError:
                 return  # spoilt: asked again
             if found.id != self.id:
@@ -113,5 +115,5 @@
             self.started, self.etag = found.started, answer.etag
             self.final = found.cancelled or abs(found.started) >= abs(self.count)
             self.tries += 1
-            if not self.final and self.tries >= TRIES:
+            if not self.final and self.tries >= MAX_ATTEMPTS:
                 self.cancel = True
--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -7,7 +7,7 @@
 
 from otterquay.agent.web import WebAgent
 from otterquay.config.schema import Service
-from otterquay.duties.lease import Terms
+from otterquay.duties.lease import LeaseTerms
 from otterquay.fleet.plan import Pace, Plan
 from otterquay.fleet.shell import FleetWork
 from otterquay.fleet.transport import group_number
@@ -43,7 +43,7 @@
             owes=capacity.owes / 1e3,
             retire=capacity.retire / 1e3,
         ),
-        terms=Terms(group.lease / 1e3, group.drift),
+        terms=LeaseTerms(group.lease / 1e3, group.drift),
         group=GroupTimes(group.beat / 1e3, group.election / 1e3, group.beat * 3 / 1e3),
         site_times=SiteTimes(lost=group.lost / 1e3, back=group.back / 1e3, lease=group.lost / 2e3),
     )
--- a/otterquay/fleet/coordinating.py
+++ b/otterquay/fleet/coordinating.py
@@ -7,11 +7,18 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
 from otterquay.duties.calls import Ask, Propose
-from otterquay.duties.errand import STALE, WAIT_S, Answer, Errand, Listed, Request
 from otterquay.duties.token import Token
+from otterquay.duties.yard_orders import (
+    ANSWER_TIMEOUT_S,
+    STATUS_STALE_TOKEN,
+    Answer,
+    PendingOrder,
+    Request,
+    SiteListing,
+)
 from otterquay.sites.site import Site
 
 
@@ -24,51 +31,51 @@
     want: Callable[[float, Mapping[str, int]], Mapping[str, int]]
     every: float
     ask: Ask
-    errands: dict[str, tuple[Errand, int, cm.Act]] = field(default_factory=dict)
+    pending_orders: dict[str, tuple[PendingOrder, int, cm.Act]] = field(default_factory=dict)
     token: Token = field(default_factory=Token)
-    listed: Listed | None = None
+    listed: SiteListing | None = None
     next_at: float = 0.0
     asking_until: float = 0.0
     asked_at: float = 0.0
     changed_at: float = 0.0  # when an order of ours was last placed or ended: an older list does not show it
 
-    def step(self, now: float, out: Out) -> None:
+    def step(self, now: float, out: Effects) -> None:
         """Go on, or forget what an earlier term had under way: its journal has it."""
         site = self.site
         if not site.acting:
-            self.errands.clear()
+            self.pending_orders.clear()
             self.listed = None
             return
         if site.token != self.token:
             self.token, self.listed, self.next_at = site.token, None, now
-            self.errands.clear()
+            self.pending_orders.clear()
         for token, entry, act in site.ready:
             sent = msgspec.structs.replace(act, sent=True)
             site.journal.update(token, entry, sent, out)
-            self.errands[act.id] = (Errand(self.name, act.id, act.kind, act.count, token), entry, sent)
+            self.pending_orders[act.id] = (PendingOrder(self.name, act.id, act.kind, act.count, token), entry, sent)
         site.ready.clear()
-        for errand, entry, act in list(self.errands.values()):
-            errand.overdue(now)
-            if request := errand.step(now):
-                self.ask(request, self._done(errand, entry, act), out)
+        for pending_order, entry, act in list(self.pending_orders.values()):
+            pending_order.overdue(now)
+            if request := pending_order.step(now):
+                self.ask(request, self._done(pending_order, entry, act), out)
         for build in site.given_up():
             site.lower(now, build, 0.0, out)
         if now >= self.next_at and now >= self.asking_until:
             self._order(now, out)
-            self.next_at, self.asking_until, self.asked_at = now + self.every, now + WAIT_S, now
+            self.next_at, self.asking_until, self.asked_at = now + self.every, now + ANSWER_TIMEOUT_S, now
             self.ask(Request("GET", f"/sites/{self.name}", self.token), self._told, out)
 
-    def _told(self, now: float, answer: Answer, out: Out) -> None:
+    def _told(self, now: float, answer: Answer, out: Effects) -> None:
         self.asking_until = now
         self._stale(now, answer, out)
         if answer.status == 200 and self.asked_at > self.changed_at:
             try:
-                self.listed = msgspec.json.decode(answer.body, type=Listed)
+                self.listed = msgspec.json.decode(answer.body, type=SiteListing)
             except msgspec.MsgspecError:
                 self.listed = None
 
-    def _stale(self, now: float, answer: Answer, out: Out) -> None:
-        if answer.status != STALE or not self.site.acting:
+    def _stale(self, now: float, answer: Answer, out: Effects) -> None:
+        if answer.status != STATUS_STALE_TOKEN or not self.site.acting:
             return
         newest = Token.parse(answer.etag) if answer.etag else self.token
         kept = self.site.kept
@@ -76,7 +83,7 @@
             kept.newest, kept.voted = newest, None
         self.site.stop(now, "the yard knows a newer token", out)
 
-    def _order(self, now: float, out: Out) -> None:
+    def _order(self, now: float, out: Effects) -> None:
         """What is missing, out of the allowance: once the yard has told what there is."""
         if self.listed is None:
             return
@@ -87,7 +94,9 @@
                 for o in self.listed.orders
                 if o.kind == kind and not o.cancelled and o.count > o.started
             )
-            coming += sum(e.count for e, _, _ in self.errands.values() if e.kind == kind and e.id not in known)
+            coming += sum(
+                e.count for e, _, _ in self.pending_orders.values() if e.kind == kind and e.id not in known
+            )
             coming += sum(r.act.count for r in self.site.reserves if r.act.kind == kind)
             missing = count - self.listed.alive.get(kind, 0) - coming
             missing = min(missing, self.site.kept.allowed - self.site.kept.spent)
@@ -96,15 +105,19 @@
                 self.changed_at = now
         self.listed = None  # older than what was just asked for
 
-    def _done(self, errand: Errand, entry: int, act: cm.Act) -> Callable[[float, Answer, Out], None]:
-        def answered(now: float, answer: Answer, out: Out) -> None:
-            errand.answer(now, answer)
-            self.site.journal.update(errand.token, entry, msgspec.structs.replace(act, started=errand.started), out)
-            if errand.stale:
+    def _done(
+        self, pending_order: PendingOrder, entry: int, act: cm.Act
+    ) -> Callable[[float, Answer, Effects], None]:
+        def answered(now: float, answer: Answer, out: Effects) -> None:
+            pending_order.answer(now, answer)
+            self.site.journal.update(
+                pending_order.token, entry, msgspec.structs.replace(act, started=pending_order.started), out
+            )
+            if pending_order.stale:
                 self._stale(now, answer, out)
-            if errand.final:
+            if pending_order.final:
                 self.changed_at = now
-                self.errands.pop(errand.id, None)
+                self.pending_orders.pop(pending_order.id, None)
 
         return answered
 
@@ -118,7 +131,7 @@
     propose: Propose
     busy: bool = False
 
-    def step(self, now: float, out: Out) -> None:
+    def step(self, now: float, out: Effects) -> None:
         """Hand over the next journal of a term that is over, while the group is heard."""
         if self.busy or self.site.lost(now):
             return
@@ -126,13 +139,13 @@
         if over:
             self._hand(now, over[0], self.site.journal.pieces(over[0]), out)
 
-    def _hand(self, now: float, token: Token, pieces: list[list[cm.Act]], out: Out) -> None:
+    def _hand(self, now: float, token: Token, pieces: list[list[cm.Act]], out: Effects) -> None:
         piece, rest = pieces[0], pieces[1:]
 
-        def taken(at: float, result: cm.Result, o: Out) -> None:
+        def taken(at: float, result: cm.Result, o: Effects) -> None:
             self.busy = False
             if not result.ok:
-                o.say("journal_not_taken", token=str(token), reason=result.reason)
+                o.log("journal_not_taken", token=str(token), reason=result.reason)
             elif rest:
                 self._hand(at, token, rest, o)
             else:
--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -4,15 +4,15 @@
 
 from dataclasses import dataclass, field
 
-from otterquay.cores.lives import BITS
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
+from otterquay.cores.incarnations import RANDOM_BITS
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
-from otterquay.duties.lease import Book
-from otterquay.duties.spread.book import Assign
-from otterquay.duties.spread.chief import Chief
-from otterquay.duties.spread.names import posts_of
-from otterquay.duties.spread.progress import Progress
+from otterquay.duties.lease import LeaseRegistry
+from otterquay.duties.posts.assigner import PostAssigner
+from otterquay.duties.posts.names import post_names
+from otterquay.duties.posts.progress import Progress
+from otterquay.duties.posts.records import Assign
 from otterquay.duties.state import Duties
 from otterquay.duties.token import Token, duty_of, site_of
 from otterquay.fleet import words
@@ -40,17 +40,17 @@
     plan: Plan
     member: Member
     duties: Duties
-    book: Book = field(init=False)
+    book: LeaseRegistry = field(init=False)
     term: int = -1
     number: int = 0
     pending: dict[tuple[int, int, int], int | None] = field(default_factory=dict)
     seen: dict[int, Seen] = field(default_factory=dict)
     waiting: dict[str, float] = field(default_factory=dict)  # since when a site's duty is held back
-    chief: Chief | None = None  # of the posts; a new one each term
+    assigner: PostAssigner | None = None  # of the posts; a new one each term
     relieved: dict[tuple[str, int], float] = field(default_factory=dict)  # duty and agent: not before that time
 
     def __post_init__(self) -> None:
-        self.book = Book(self.plan.terms)
+        self.book = LeaseRegistry(self.plan.terms)
         self.member.applied = self._applied
 
     def leads(self, now: float) -> bool:
@@ -59,58 +59,58 @@
             return False
         if self.term != self.member.term:
             self.term, self.number = self.member.term, 0
-            self.book = Book(self.plan.terms)
+            self.book = LeaseRegistry(self.plan.terms)
             self.pending.clear()
             self.seen.clear()
             self.waiting.clear()
             self.relieved.clear()
-            self.chief = None
-        if self.chief is None and self.plan.pace.owes and self.member.led_at:
-            self.chief = Chief(
+            self.assigner = None
+        if self.assigner is None and self.plan.pace.owes and self.member.leading_since:
+            self.assigner = PostAssigner(
                 self.plan.terms,
                 4 * self.plan.pace.status,
-                self.member.led_at + 2 * self.plan.group.election,
+                self.member.leading_since + 2 * self.plan.group.election,
                 Progress(self.plan.pace.owes),
             )
-        return bool(self.member.led_at) and self.member.confirmed(now)
+        return bool(self.member.leading_since) and self.member.confirmed(now)
 
     # --- proposals ---
-    def propose(self, now: float, sender: int, via: int | None, m: dm.Propose, out: Out) -> dm.Message | None:
+    def propose(self, now: float, sender: int, via: int | None, m: dm.Propose, out: Effects) -> dm.Message | None:
         """Take a proposal; what to answer at once, if anything."""
         p = m.proposal
         if p.agent != sender or isinstance(p.command, cm.Expire | Assign):
-            out.say("proposal_refused", sender=sender, agent=p.agent, reason="speaks for another")
+            out.log("proposal_refused", sender=sender, agent=p.agent, reason="speaks for another")
             return None
         if not self.leads(now):
-            return dm.Elsewhere(p.life, p.number, self.member.leader)
-        key = (p.agent, p.life, p.number)
-        known = self.duties.whole.agents.get(p.agent)
-        if known and (known.life, known.number) == (p.life, p.number):
-            return dm.Done(p.life, p.number, known.result)
+            return dm.Elsewhere(p.incarnation, p.number, self.member.leader)
+        key = (p.agent, p.incarnation, p.number)
+        known = self.duties.group_state.agents.get(p.agent)
+        if known and (known.incarnation, known.number) == (p.incarnation, p.number):
+            return dm.Done(p.incarnation, p.number, known.result)
         if key in self.pending:
             self.pending[key] = via
             return None
         if isinstance(p.command, cm.Claim) and (reason := self._held_back(now, p.command.duty, p.agent)):
-            return dm.Done(p.life, p.number, cm.Result(False, reason))
+            return dm.Done(p.incarnation, p.number, cm.Result(False, reason))
         if isinstance(p.command, cm.Claim | cm.Renew) and self.relieved.get((p.command.duty, p.agent), -1e9) > now:
-            return dm.Done(p.life, p.number, cm.Result(False, "it brought nothing"))
+            return dm.Done(p.incarnation, p.number, cm.Result(False, "it brought nothing"))
         if len(self.pending) >= PENDING_MOST or self.member.propose(now, cm.encode(p), out) is None:
             return None  # it asks again
         self.pending[key] = via
         return None
 
-    def _applied(self, index: int, term: int, data: bytes, result: object, out: Out) -> None:
+    def _applied(self, index: int, term: int, data: bytes, result: object, out: Effects) -> None:
         if not data or not isinstance(result, cm.Result):
             return
         try:
             p = cm.decode(data)
         except ValueError:
             return
-        if self.chief is not None and isinstance(p.command, Assign):
-            self.chief.settled()
-        if (p.agent, p.life, p.number) in self.pending:
-            via = self.pending.pop((p.agent, p.life, p.number))
-            reply(out, self.plan.me, p.agent, via, dm.Done(p.life, p.number, result))
+        if self.assigner is not None and isinstance(p.command, Assign):
+            self.assigner.settled()
+        if (p.agent, p.incarnation, p.number) in self.pending:
+            via = self.pending.pop((p.agent, p.incarnation, p.number))
+            reply(out, self.plan.me, p.agent, via, dm.Done(p.incarnation, p.number, result))
 
     def _held_back(self, now: float, duty: str, agent: int) -> str:
         """Why a site's duty is not granted now; an empty text when it is.
@@ -147,12 +147,12 @@
     def status(self, now: float, sender: int, m: dm.Status, epoch: int) -> dm.Message:
         """An agent's status; a beat, where this leads."""
         if not self.leads(now):
-            return dm.Elsewhere(m.life, 0, self.member.leader)
+            return dm.Elsewhere(m.incarnation, 0, self.member.leader)
         site = self.plan.sites.get(sender)
         if site is None or site != m.site:
-            return dm.Elsewhere(m.life, 0, None)
+            return dm.Elsewhere(m.incarnation, 0, None)
         self.seen[sender] = Seen(now, m)
-        whole = self.duties.whole
+        whole = self.duties.group_state
         state = whole.sites[site]
         agents = self.plan.agents_of(site)
         spent = sorted((s.status.spent if (s := self.seen.get(a)) else 0 for a in agents), reverse=True)
@@ -166,12 +166,12 @@
             state.spent,
         )
         posts = None
-        if self.chief is not None and not m.number:
-            self.chief.gone(sender)
-        elif self.chief is not None:
-            posts = self.chief.status(now, sender, m.life, m.number, m.applied, m.holding, whole.spread)
+        if self.assigner is not None and not m.number:
+            self.assigner.gone(sender)
+        elif self.assigner is not None:
+            posts = self.assigner.status(now, sender, m.incarnation, m.number, m.applied, m.holding, whole.spread)
         return dm.Beat(
-            m.life,
+            m.incarnation,
             {name: d.owner for name, d in whole.duties.items() if site_of(name) in (None, site)},
             beat,
             dict(whole.caps),
@@ -183,7 +183,7 @@
 
     def books(self, site: str, number: int) -> dm.Books:
         """What the group holds of a site's servers."""
-        whole = self.duties.whole
+        whole = self.duties.group_state
         orders = {k: o for k, o in whole.orders.items() if o.site == site}
         alive = {kind: self.duties.alive(site, kind) for kind in whole.running.get(site, {})}
         return dm.Books(
@@ -192,37 +192,37 @@
             alive,
             {n: s.granted for n, s in whole.sites.items()},
             {n: s.spent for n, s in whole.sites.items()},
-            whole.bound - self.duties.taken(),
+            whole.bound - self.duties.committed_servers(),
             number,
         )
 
-    def tick(self, now: float, out: Out) -> None:
+    def tick(self, now: float, out: Effects) -> None:
         """End leases that have run out."""
         if not self.leads(now):
             return
-        for name, token, renewals in self.book.overdue(now, self.member.led_at, self.duties):
+        for name, token, renewals in self.book.overdue(now, self.member.leading_since, self.duties):
             self._mine(now, cm.Expire(name, token, renewals), out)
-        if self.chief is not None:
-            self._posts(now, self.chief, out)
+        if self.assigner is not None:
+            self._posts(now, self.assigner, out)
 
-    def _mine(self, now: float, command: cm.Command, out: Out) -> bool:
+    def _mine(self, now: float, command: cm.Command, out: Effects) -> bool:
         self.number += 1
-        mine = cm.Proposal(LEADER, self.member.term << BITS, self.number, command)
+        mine = cm.Proposal(LEADER, self.member.term << RANDOM_BITS, self.number, command)
         return self.member.propose(now, cm.encode(mine), out) is not None
 
-    def _posts(self, now: float, chief: Chief, out: Out) -> None:
+    def _posts(self, now: float, assigner: PostAssigner, out: Effects) -> None:
         """Posts change hands, and owners of a site's servers that others see bring nothing are relieved."""
-        whole = self.duties.whole
-        moves = chief.step(now, self.wanted(), whole.spread) if now >= chief.next_at else []
+        whole = self.duties.group_state
+        moves = assigner.step(now, self.wanted(), whole.spread) if now >= assigner.next_at else []
         if moves and not self._mine(now, Assign(moves), out):
-            chief.settled()
+            assigner.settled()
         owners = {
             site: (state.owner, state.token.group)
             for site in self.plan.names()
             if (state := whole.duties[duty_of(site)]).owner is not None
         }
-        room = whole.bound - self.duties.taken()
-        for site, why in chief.progress.sites(now, whole.spread, self.plan.wants, owners, room):
+        room = whole.bound - self.duties.committed_servers()
+        for site, why in assigner.progress.sites(now, whole.spread, self.plan.wants, owners, room):
             owner, duty = owners[site][0], duty_of(site)
             if self.relieved.get((duty, owner), -1e9) <= now:
                 kept = sorted((until, a) for (d, a), until in self.relieved.items() if d == duty)
@@ -230,18 +230,18 @@
                 for _, freed in kept[: max(len(kept) + 1 - most, 0)]:
                     del self.relieved[duty, freed]
                 if most:
-                    self.relieved[duty, owner] = now + RELIEVED * chief.progress.owes
-                    out.say("owner_relieved", duty=duty, agent=owner, reason=why)
+                    self.relieved[duty, owner] = now + RELIEVED * assigner.progress.owes
+                    out.log("owner_relieved", duty=duty, agent=owner, reason=why)
         self.relieved = {at: until for at, until in self.relieved.items() if until > now}
 
     def wanted(self) -> list[str]:
         """Posts that there should be: the kinds wanted of each site, and those that run there."""
-        whole = self.duties.whole
+        whole = self.duties.group_state
         kinds = {site: {*self.plan.wants.get(site, {}), *whole.running.get(site, {})} for site in self.plan.names()}
-        return posts_of(self.plan.names(), kinds)
+        return post_names(self.plan.names(), kinds)
 
 
-def reply(out: Out, me: int, to: int, via: int | None, message: dm.Message) -> None:
+def reply(out: Effects, me: int, to: int, via: int | None, message: dm.Message) -> None:
     """An answer goes back the way that the question came."""
     if via is None:
         out.send(to, message)
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -12,17 +12,17 @@
 from functools import partial
 from typing import Any
 
-from otterquay.cores import lives
-from otterquay.cores.out import Out
+from otterquay.cores import incarnations
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
 from otterquay.duties.client import Client
-from otterquay.duties.errand import WAIT_S, Answer, Request
-from otterquay.duties.lease import Held
-from otterquay.duties.spread.holder import Holder
-from otterquay.duties.spread.looking import Looking
+from otterquay.duties.lease import OwnedDuty
+from otterquay.duties.posts.holder import Holder
+from otterquay.duties.posts.observer import SiteObserver
 from otterquay.duties.state import Duties
 from otterquay.duties.token import CAPACITY, Token, duty_of, site_of
+from otterquay.duties.yard_orders import ANSWER_TIMEOUT_S, Answer, Request
 from otterquay.fleet import words
 from otterquay.fleet.coordinating import Coordinating, HandingBack
 from otterquay.fleet.leader import Desk, reply
@@ -31,7 +31,7 @@
 from otterquay.group import messages as gm
 from otterquay.group.joining import IDENTITY, KNOWN, Joining
 from otterquay.group.log import LOG, META
-from otterquay.group.member import Member, started
+from otterquay.group.member import Member, load_member
 from otterquay.group.parts import Role
 from otterquay.runtimes.demand import FRESH_S, Demand
 from otterquay.runtimes.machine import Machine
@@ -55,7 +55,7 @@
 
     request: Request
     until: float
-    told: Callable[[float, Answer, Out], None]
+    told: Callable[[float, Answer, Effects], None]
 
 
 class Node:
@@ -63,11 +63,13 @@
 
     def __init__(self, plan: Plan, tables: Tables, rng: random.Random, now: float) -> None:
         self.plan, self.rng = plan, rng
-        self.begun = Out()
+        self.begun = Effects()
         kept = tables.get(NODE, {}).get(LIFE)
-        self.life = lives.begin(lives.start_of(int.from_bytes(kept or b"")) + 1, rng)
+        self.incarnation = incarnations.new_incarnation(
+            incarnations.start_number(int.from_bytes(kept or b"")) + 1, rng
+        )
         self._keep_life(self.begun)
-        self.client = Client(plan.me, self.life, plan.members)
+        self.client = Client(plan.me, self.incarnation, plan.members)
         self.asked_member = rng.randrange(len(plan.members))
         self.duties = Duties(plan.names(), plan.bound)
         self.member: Member | None = None
@@ -83,7 +85,7 @@
                 rng.getrandbits(61),
                 self.begun,
             )
-            self.member = started(
+            self.member = load_member(
                 plan.me, plan.members, self.duties, tables, joining, rng, now, plan.group, plan.sizes
             )
             self.desk = Desk(plan, self.member, self.duties)
@@ -96,10 +98,10 @@
             now,
             plan.site_times,
             plan.back_votes,
-            self.life,
+            self.incarnation,
             self.begun,
         )
-        self.held: dict[str, Held] = {}
+        self.held: dict[str, OwnedDuty] = {}
         self.work: SiteWork | None = None
         self.demand = Demand(now)
         self.coordinating = Coordinating(plan.site, self.site, self._want, plan.pace.yard, self._ask)
@@ -109,7 +111,7 @@
         self.beat_at = self.direct_at = -1e9
         self.status_at = now + plan.pace.status * rng.random()
         self.holder = Holder(plan.terms)
-        self.looking = Looking(plan.pace.yard, plan.pace.owes / 2, self._ask, self.client.propose)
+        self.observer = SiteObserver(plan.pace.yard, plan.pace.owes / 2, self._ask, self.client.propose)
         self.claiming: dict[str, float] = {}
         self.joining_at = -1e9
         self.allotting = self.fleet_at = 0.0
@@ -119,24 +121,24 @@
         self.now = now
         self.leaving = False
         self.broken = ""
-        self.shared = Shared(plan.me, self.life, plan.machines)
+        self.shared = Shared(plan.me, self.incarnation, plan.machines)
         self.published = 0  # changes of the rows that the newest table of ours knows of
         self.listener: object = None  # who is told our rows: another one has heard none of them
         self.caps_changed: Callable[[dict[int, float]], None] = lambda caps: None
         self._caps: dict[int, float] = {}
 
-    def _keep_life(self, out: Out) -> None:
-        out.write(NODE, LIFE, self.life.to_bytes(8))
+    def _keep_life(self, out: Effects) -> None:
+        out.write(NODE, LIFE, self.incarnation.to_bytes(8))
 
     # --- events ---
-    def start(self, now: float) -> Out:
+    def start(self, now: float) -> Effects:
         """The first step: what a start writes down."""
-        out, self.begun = self.begun, Out()
+        out, self.begun = self.begun, Effects()
         return out
 
-    def tick(self, now: float) -> Out:
+    def tick(self, now: float) -> Effects:
         """Time has passed."""
-        out = Out()
+        out = Effects()
         if self.broken:
             return out
         self.now = now
@@ -150,10 +152,10 @@
             self._status(now, out)
         self.client.tick(now, out)
         if self.leaving and self.member and self._said_all():
-            self.member.hand(now, out)
+            self.member.transfer_leadership(now, out)
         self._own(now, out)
         if self.plan.pace.owes and not self.leaving:
-            self.looking.step(now, self.holder.held(now), self._said_all(), out)
+            self.observer.step(now, self.holder.held(now), self._said_all(), out)
         self.coordinating.step(now, out)
         self.handing.step(now, out)
         return self._end(now, out)
@@ -165,32 +167,32 @@
             times.append(self.member.due())
         return min(times)
 
-    def receive(self, now: float, sender: int, message: words.Message, via: int | None = None) -> Out:
+    def receive(self, now: float, sender: int, message: words.Message, via: int | None = None) -> Effects:
         """A message of another agent, which the transport vouches for."""
-        out = Out()
+        out = Effects()
         if not self.broken:
             self._receive(now, sender, message, via, out)
         return self._end(now, out)
 
-    def lasts(self, now: float, step: Out) -> Out:
+    def lasts(self, now: float, step: Effects) -> Effects:
         """A step's writes have come to last."""
-        out = Out()
-        for told in step.lasting:
+        out = Effects()
+        for told in step.on_durable:
             told(now)
-        if self.member and step.lasting:
-            self.member.settle(now, out)
+        if self.member and step.on_durable:
+            self.member.handle_durable(now, out)
         return self._end(now, out)
 
-    def answered(self, now: float, tag: int, answer: Answer) -> Out:
+    def answered(self, now: float, tag: int, answer: Answer) -> Effects:
         """The yard's answer, or that there is none (status 0)."""
-        out = Out()
+        out = Effects()
         if (asked := self.asked.pop(tag, None)) and not self.broken:
             asked.told(now, answer, out)
         return self._end(now, out)
 
-    def disk_failed(self, reason: str) -> Out:
+    def disk_failed(self, reason: str) -> Effects:
         """Nothing that this agent says can be kept any more, so it says nothing: no votes, no acts, no duties."""
-        out = Out()
+        out = Effects()
         if not self.broken:
             self.broken = reason
             self.held.clear()
@@ -198,12 +200,12 @@
             self.work = None
             self.client.clear()
             self.asked.clear()
-            out.say("fleet_work_stopped", reason=reason)
+            out.log("fleet_work_stopped", reason=reason)
         return out
 
-    def leave(self, now: float) -> Out:
+    def leave(self, now: float) -> Effects:
         """A planned end: hand over what is owned."""
-        out = Out()
+        out = Effects()
         self.leaving = True
         if self.site.role.value == "coordinator":
             self.site.stop(now, "this agent ends", out)
@@ -221,11 +223,11 @@
         return self._said_all() and not leads
 
     def _said_all(self) -> bool:
-        return self.client.out is None and not self.client.queue
+        return self.client.in_flight is None and not self.client.queue
 
-    def voted(self, now: float, build: int, back: bool) -> Out:
+    def voted(self, now: float, build: int, back: bool) -> Effects:
         """The decision module's verdict on a build; counted within the site while it is cut off."""
-        out = Out()
+        out = Effects()
         for agent in self.site.agents:
             if agent == self.plan.me:
                 self.site.ballot(agent, sm.Ballot(build, back), out)
@@ -233,7 +235,7 @@
                 out.send(agent, sm.Ballot(build, back))
         return out
 
-    def _end(self, now: float, out: Out) -> Out:
+    def _end(self, now: float, out: Effects) -> Effects:
         if self.member:
             self.member.flush(now, out)
         caps = self.caps()
@@ -250,7 +252,7 @@
         return caps
 
     # --- messages ---
-    def _receive(self, now: float, sender: int, message: words.Message, via: int | None, out: Out) -> None:
+    def _receive(self, now: float, sender: int, message: words.Message, via: int | None, out: Effects) -> None:
         if isinstance(message, GROUP):
             if self.member and via is None:
                 refused = self.member.joining.refused
@@ -267,7 +269,7 @@
                 self.direct_at = now
             self._duty(now, sender, message, via, out)
 
-    def _duty(self, now: float, sender: int, message: dm.Message, via: int | None, out: Out) -> None:
+    def _duty(self, now: float, sender: int, message: dm.Message, via: int | None, out: Effects) -> None:
         me = self.plan.me
         match message:
             case dm.Propose():
@@ -282,20 +284,20 @@
                     self.member.read(now, lambda _, o: reply(o, me, sender, via, desk.books(site, number)), out)
             case dm.AskTable():
                 if self.desk:
-                    whole = self.duties.whole
+                    whole = self.duties.group_state
                     reply(out, me, sender, via, dm.Table(whole.table_version, whole.table_token, whole.table))
             case dm.Done():
-                if message.result.reason == "an earlier life" and message.life == self.life:
+                if message.result.reason == "an earlier life" and message.incarnation == self.incarnation:
                     self._reborn(now, message.result.token.group, out)
                 else:
-                    self.client.done(now, sender, message, out)
+                    self.client.handle_done(now, sender, message, out)
             case dm.Elsewhere():
                 if message.number:
-                    self.client.elsewhere(now, message, out)
+                    self.client.handle_elsewhere(now, message, out)
                 elif message.leader in self.plan.members:
                     self.asked_member, self.pointed = self.plan.members.index(message.leader), True
             case dm.Beat():
-                if message.life == self.life and sender in self.plan.members:
+                if message.incarnation == self.incarnation and sender in self.plan.members:
                     self._beat(now, sender, message, out)
             case dm.Books():
                 if self.work and self.work.site == message.site and sender in self.plan.members:
@@ -311,7 +313,7 @@
                 if sender in self.site.agents and via is None:
                     self.demand.heard(now, sender, message.rates)
 
-    def _relayed(self, now: float, sender: int, m: dm.Relayed, out: Out) -> None:
+    def _relayed(self, now: float, sender: int, m: dm.Relayed, out: Effects) -> None:
         plan = self.plan
         if m.to == plan.me:
             asked = plan.me in plan.members and plan.sites.get(m.origin) == plan.sites.get(sender)
@@ -320,9 +322,9 @@
                 try:
                     inner = words.decode(m.body)
                 except ValueError as error:
-                    return out.say("relayed_refused", sender=sender, reason=str(error)[:200])
+                    return out.log("relayed_refused", sender=sender, reason=str(error)[:200])
                 if isinstance(inner, DIRECT):
-                    return out.say("relayed_refused", sender=sender, reason="not to be relayed")
+                    return out.log("relayed_refused", sender=sender, reason="not to be relayed")
                 self._receive(now, m.origin, inner, sender, out)
             return
         up = m.origin == sender and sender in self.site.agents and m.to in plan.members
@@ -330,7 +332,7 @@
         if up or down:  # one step each way, so that nothing goes round
             out.send(m.to, m)
 
-    def _member(self, now: float, member: int, message: dm.Message, out: Out) -> None:
+    def _member(self, now: float, member: int, message: dm.Message, out: Effects) -> None:
         """To a member; while none is heard directly, also by way of who of the site still hears the group."""
         out.send(member, message)
         if now - self.direct_at > 2 * self.plan.pace.status and member != self.plan.me:
@@ -338,19 +340,21 @@
             if nearest is not None and nearest != member:
                 out.send(nearest, dm.Relayed(self.plan.me, member, words.encode(message)))
 
-    def _reborn(self, now: float, life: int, out: Out) -> None:
+    def _reborn(self, now: float, incarnation: int, out: Effects) -> None:
         """Our disk has forgotten how often we were started: go on above what the group knows."""
-        out.say("life_forgotten", was=self.life, known=life)
-        self.life = lives.begin(max(lives.start_of(self.life), lives.start_of(life)) + 1, self.rng)
+        out.log("life_forgotten", was=self.incarnation, known=incarnation)
+        self.incarnation = incarnations.new_incarnation(
+            max(incarnations.start_number(self.incarnation), incarnations.start_number(incarnation)) + 1, self.rng
+        )
         self._keep_life(out)
-        self.site.life = self.life
+        self.site.incarnation = self.incarnation
         self.site.forgot(now, out)
-        self.client.life, self.client.number, self.client.out = self.life, 0, None
+        self.client.incarnation, self.client.number, self.client.in_flight = self.incarnation, 0, None
         self.holder.drop()
-        self.shared.reborn(self.life)
+        self.shared.reborn(self.incarnation)
 
     # --- the group ---
-    def _status(self, now: float, out: Out) -> None:
+    def _status(self, now: float, out: Effects) -> None:
         self.status_at = now + self.plan.pace.status
         if now - self.beat_at > 2 * self.plan.pace.status and not self.pointed:
             self.asked_member = (self.asked_member + 1) % len(self.plan.members)
@@ -358,13 +362,13 @@
         kept = self.site.kept
         cut = self.site.following.term > 0
         posts = self.holder.status(now) if self.plan.pace.owes and not self.leaving else (0, 0, [])
-        status = dm.Status(self.life, self.plan.site, kept.followed[-128:], kept.spent, cut, *posts)
+        status = dm.Status(self.incarnation, self.plan.site, kept.followed[-128:], kept.spent, cut, *posts)
         self._member(now, self.plan.members[self.asked_member], status, out)
-        if self.client.out is not None and now - self.client.first_at > 2 * self.client.again:
-            self._member(now, self.client.members[self.client.leader], dm.Propose(self.client.out), out)
+        if self.client.in_flight is not None and now - self.client.first_sent_at > 2 * self.client.retry_s:
+            self._member(now, self.client.members[self.client.target_index], dm.Propose(self.client.in_flight), out)
         self._evidence(now, out)
 
-    def _beat(self, now: float, sender: int, beat: dm.Beat, out: Out) -> None:
+    def _beat(self, now: float, sender: int, beat: dm.Beat, out: Effects) -> None:
         self.beat, self.beat_at = beat, now
         site = beat.site
         self.shared.begin(now, beat.epoch)
@@ -385,15 +389,15 @@
         if beat.table > self.shared.version:
             self._member(now, sender, dm.AskTable(), out)
 
-    def _joined(self, now: float, result: cm.Result, out: Out) -> None:
+    def _joined(self, now: float, result: cm.Result, out: Effects) -> None:
         if result.ok:
             self.site.joined(result.reason != "new", result.token, out)
 
-    def _granted(self, duty: str, asked_at: float, now: float, result: cm.Result, out: Out) -> None:
+    def _granted(self, duty: str, asked_at: float, now: float, result: cm.Result, out: Effects) -> None:
         if not result.ok or self.leaving or now >= asked_at + self.plan.terms.owner:
             return
-        self.held[duty] = Held(result.token, asked_at + self.plan.terms.owner)
-        out.say("duty_taken", duty=duty, token=str(result.token))
+        self.held[duty] = OwnedDuty(result.token, asked_at + self.plan.terms.owner)
+        out.log("duty_taken", duty=duty, token=str(result.token))
         if duty == duty_of(self.plan.site):
             self.work = SiteWork(
                 self.plan.site,
@@ -406,12 +410,12 @@
                 sees_all=self._sees_all,
             )
 
-    def _own(self, now: float, out: Out) -> None:
+    def _own(self, now: float, out: Effects) -> None:
         """Go on with what is owned, renew it, and let go of it when the lease or the token says so."""
         for duty, held in list(self.held.items()):
             stale = self.work is not None and duty == duty_of(self.plan.site) and self.work.stale
             if now >= held.until or stale:
-                out.say("duty_lost", duty=duty, token=str(held.token), reason="refused" if stale else "lease")
+                out.log("duty_lost", duty=duty, token=str(held.token), reason="refused" if stale else "lease")
                 del self.held[duty]
                 if duty == duty_of(self.plan.site):
                     self.work = None
@@ -430,13 +434,17 @@
             self._ask_books(now, out)
             self._publish(now, out)
 
-    def _ask_books(self, now: float, out: Out) -> None:
+    def _ask_books(self, now: float, out: Effects) -> None:
         self.reads += 1
         if self.work:
             self.work.reads = self.reads
-        self._member(now, self.client.members[self.client.leader], dm.AskBooks(self.plan.site, self.reads), out)
+        self._member(
+            now, self.client.members[self.client.target_index], dm.AskBooks(self.plan.site, self.reads), out
+        )
 
-    def _renewed(self, duty: str, held: Held, asked_at: float, now: float, result: cm.Result, out: Out) -> None:
+    def _renewed(
+        self, duty: str, held: OwnedDuty, asked_at: float, now: float, result: cm.Result, out: Effects
+    ) -> None:
         held.renewing = False
         if self.held.get(duty) is not held:
             return
@@ -446,7 +454,7 @@
             held.until = now
 
     # --- the fleet's own duty ---
-    def _allot(self, now: float, books: dm.Books, out: Out) -> None:
+    def _allot(self, now: float, books: dm.Books, out: Effects) -> None:
         """See that each site has its allowance to go on with when it is cut off."""
         if now < self.allotting:
             return
@@ -461,7 +469,7 @@
                     now, cm.Allot(self.held[CAPACITY].token, site, books.granted[site] + more), lambda *_: None, out
                 )
 
-    def _publish(self, now: float, out: Out) -> None:
+    def _publish(self, now: float, out: Effects) -> None:
         """The fleet's table, where the rows have changed since it was last made: a fit is no small work."""
         if self.beat is None or self.shared.evidence.changes == self.published:
             return
@@ -470,7 +478,7 @@
             version = max(self.beat.table, self.shared.version) + 1
             self.client.propose(now, cm.Publish(self.held[CAPACITY].token, version, table), lambda *_: None, out)
 
-    def _evidence(self, now: float, out: Out) -> None:
+    def _evidence(self, now: float, out: Effects) -> None:
         """Our rows of run times go to who owns the fleet's capacity, or to the coordinator while the site is
         cut.
         """
@@ -492,7 +500,7 @@
                 if agent != self.plan.me:
                     out.send(agent, dm.Rows(rows))
 
-    def _tell_demand(self, now: float, out: Out) -> None:
+    def _tell_demand(self, now: float, out: Effects) -> None:
         rates = self.demand.own(now)
         if not rates or self.plan.site not in self.plan.sized:
             return
@@ -524,15 +532,15 @@
         )
 
     # --- the yard ---
-    def _ask(self, request: Request, told: Callable[[float, Answer, Out], None], out: Out) -> None:
+    def _ask(self, request: Request, told: Callable[[float, Answer, Effects], None], out: Effects) -> None:
         self.tags += 1
-        self.asked[self.tags] = Asked(request, self.now + WAIT_S, told)
+        self.asked[self.tags] = Asked(request, self.now + ANSWER_TIMEOUT_S, told)
         out.call(self.tags, request)
 
     def digest(self) -> dict[str, Any]:
         """What operators ask for."""
         return {
-            "life": self.life,
+            "life": self.incarnation,
             "owns": {d: str(h.token) for d, h in self.held.items()},
             "site": self.site.role.value,
             "following": str(self.site.following),
--- a/otterquay/fleet/plan.py
+++ b/otterquay/fleet/plan.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from otterquay.duties.lease import Terms
+from otterquay.duties.lease import LeaseTerms
 from otterquay.group.parts import Sizes
 from otterquay.group.parts import Times as GroupTimes
 from otterquay.runtimes.machine import Machine
@@ -42,7 +42,7 @@
     sized: Mapping[str, str] = field(default_factory=dict)  # by site: the kind ordered as the demand asks
     sizing: Sizing = field(default_factory=Sizing)
     pace: Pace = field(default_factory=Pace)
-    terms: Terms = field(default_factory=Terms)
+    terms: LeaseTerms = field(default_factory=LeaseTerms)
     group: GroupTimes = field(default_factory=GroupTimes)
     sizes: Sizes = field(default_factory=Sizes)
     site_times: SiteTimes = field(default_factory=SiteTimes)
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -13,8 +13,8 @@
 from typing import Any
 
 from otterquay import interface as it
-from otterquay.cores.out import Out
-from otterquay.duties.errand import Request
+from otterquay.cores.effects import Effects
+from otterquay.duties.yard_orders import Request
 from otterquay.fleet import words, yard_client
 from otterquay.fleet.node import TABLES, Node, Tables
 from otterquay.fleet.plan import Plan
@@ -52,7 +52,7 @@
         self.transport = Transport(plan.me, listen, addresses, group, key, rng, self._heard, log)
         self.node: Node | None = None
         self.again: Callable[[], None] = lambda: None  # the caps have changed: the newest stage is told anew
-        self._steps: asyncio.Queue[Out] = asyncio.Queue(STEPS_MOST)
+        self._steps: asyncio.Queue[Effects] = asyncio.Queue(STEPS_MOST)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._timer: asyncio.TimerHandle | None = None
         self._calls = 0
@@ -161,8 +161,8 @@
             return
         self._step(self.node.receive(self._now(), sender, message))
 
-    def _step(self, out: Out) -> None:
-        if out.empty():
+    def _step(self, out: Effects) -> None:
+        if out.is_empty():
             return
         try:
             self._steps.put_nowait(out)
@@ -197,7 +197,7 @@
                 if self._calls < CALLS_MOST:
                     self._calls += 1
                     self._keep(asyncio.get_running_loop().create_task(self._call(call.tag, call.request)))
-            if out.lasting:
+            if out.on_durable:
                 self._step(self.node.lasts(self._now(), out))
 
     def _loop_back(self, message: words.Message) -> None:
@@ -212,6 +212,6 @@
         if self.node:
             self._step(self.node.answered(self._now(), tag, answer))
 
-    def _say(self, out: Out) -> None:
-        for event, fields in out.lines:
+    def _say(self, out: Effects) -> None:
+        for event, fields in out.log_lines:
             self.log.info(event, **fields)
--- a/otterquay/fleet/sitework.py
+++ b/otterquay/fleet/sitework.py
@@ -11,12 +11,19 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
 from otterquay.duties.calls import Ask, Propose
-from otterquay.duties.errand import STALE, WAIT_S, Answer, Errand, Listed, Request
 from otterquay.duties.token import Token, duty_of
+from otterquay.duties.yard_orders import (
+    ANSWER_TIMEOUT_S,
+    STATUS_STALE_TOKEN,
+    Answer,
+    PendingOrder,
+    Request,
+    SiteListing,
+)
 
 
 @dataclass(slots=True)
@@ -33,8 +40,8 @@
     books: dm.Books | None = None
     reads: int = 0  # the number of the newest question for them
     least: int = 0  # the first whose answer knows of all that this owner has done
-    listed: Listed | None = None
-    errands: dict[str, Errand] = field(default_factory=dict)
+    listed: SiteListing | None = None
+    pending_orders: dict[str, PendingOrder] = field(default_factory=dict)
     numbers: int = 0
     next_at: float = 0.0
     stale: bool = False
@@ -45,12 +52,12 @@
     sees_all: Callable[[float], bool] = lambda now: True  # whether no agent's demand can be missing from `want`
     surplus: dict[str, tuple[float, int]] = field(default_factory=dict)  # since when, and the least meanwhile
 
-    def step(self, now: float, beat: dm.SiteBeat | None, out: Out) -> bool:
+    def step(self, now: float, beat: dm.SiteBeat | None, out: Effects) -> bool:
         """Go on; True when the group's books should be asked for."""
-        for errand in self.errands.values():
-            errand.overdue(now)
-            if request := errand.step(now):
-                self.ask(request, lambda at, answer, o, e=errand: self._ordered(at, e, answer, o), out)  # type: ignore[misc]
+        for pending_order in self.pending_orders.values():
+            pending_order.overdue(now)
+            if request := pending_order.step(now):
+                self.ask(request, lambda at, answer, o, e=pending_order: self._ordered(at, e, answer, o), out)  # type: ignore[misc]
         if now < self.next_at or self.asking:
             return False
         self.next_at = now + self.every
@@ -66,16 +73,16 @@
                 return True
         return False
 
-    def _list(self, now: float, method: str, path: str, beat: dm.SiteBeat | None, out: Out) -> None:
-        def listed(at: float, answer: Answer, o: Out) -> None:
+    def _list(self, now: float, method: str, path: str, beat: dm.SiteBeat | None, out: Effects) -> None:
+        def listed(at: float, answer: Answer, o: Effects) -> None:
             self.asking = False
             self.next_at = at + self.every  # answered: the wait was for an answer that does not come
-            if answer.status == STALE:
+            if answer.status == STATUS_STALE_TOKEN:
                 self.stale = True
             if answer.status != 200:
                 return
             try:
-                self.listed = msgspec.json.decode(answer.body, type=Listed)
+                self.listed = msgspec.json.decode(answer.body, type=SiteListing)
             except msgspec.MsgspecError:
                 return  # spoilt: asked again
             if self.phase == "fence":
@@ -84,10 +91,10 @@
             self._ended(at, o)
 
         self.asking = True
-        self.next_at = now + WAIT_S
+        self.next_at = now + ANSWER_TIMEOUT_S
         self.ask(Request(method, path, self.token), listed, out)  # type: ignore[arg-type]
 
-    def _found(self, now: float, beat: dm.SiteBeat | None, out: Out) -> None:
+    def _found(self, now: float, beat: dm.SiteBeat | None, out: Effects) -> None:
         """All older tokens are refused by now: the list holds whatever they did."""
         if self.listed is None or beat is None:
             return
@@ -96,9 +103,9 @@
             for o in self.listed.orders
             if Token.parse(o.token).term > 0
         ]
-        pieces = [acts[i : i + cm.ACTS_MOST] for i in range(0, len(acts), cm.ACTS_MOST)] or [[]]
+        pieces = [acts[i : i + cm.MAX_ACTS] for i in range(0, len(acts), cm.MAX_ACTS)] or [[]]
 
-        def done(at: float, result: cm.Result, o: Out) -> None:
+        def done(at: float, result: cm.Result, o: Effects) -> None:
             self.asking = False
             if result.ok and not pieces:
                 self.phase, self.next_at = "run", at
@@ -107,7 +114,7 @@
             else:
                 self.stale = True
 
-        def following(at: float, o: Out) -> None:
+        def following(at: float, o: Effects) -> None:
             piece = pieces.pop(0)
             last = not pieces
             command = cm.Found(duty_of(self.site), self.token, piece, beat.spent if last else 0, last)
@@ -115,13 +122,13 @@
 
         following(now, out)
 
-    def _ended(self, now: float, out: Out) -> None:
+    def _ended(self, now: float, out: Effects) -> None:
         for kind, total in (self.listed.ended if self.listed else {}).items():
             if total > self.told.get(kind, 0) and self.phase == "run":
                 self.told[kind] = total
                 self.propose(now, cm.Ended(duty_of(self.site), self.token, kind, total), lambda *_: None, out)
 
-    def booked(self, books: dm.Books, now: float, out: Out) -> None:
+    def booked(self, books: dm.Books, now: float, out: Effects) -> None:
         """The group's books: open orders are carried on, whoever wrote them.
 
         An answer to what was asked before this owner's last change is late: it would have what was done ordered
@@ -131,17 +138,19 @@
             return
         self.books = books
         for name, order in books.orders.items():
-            if order.open and name not in self.errands:
-                self.errands[name] = Errand(self.site, name, order.kind, order.count, self.token)
+            if order.open and name not in self.pending_orders:
+                self.pending_orders[name] = PendingOrder(self.site, name, order.kind, order.count, self.token)
 
-    def _order(self, now: float, out: Out) -> None:
+    def _order(self, now: float, out: Effects) -> None:
         """Order what is missing: what is alive, on order, or asked for already is not ordered again."""
         assert self.books is not None
         for kind, count in self.want(now, self.books.alive).items():
             coming = self.ordering.get(kind, 0) + sum(
-                e.count for e in self.errands.values() if e.kind == kind and not e.final
+                e.count for e in self.pending_orders.values() if e.kind == kind and not e.final
+            )
+            coming += sum(
+                o.count for n, o in self.books.orders.items() if o.kind == kind and n not in self.pending_orders
             )
-            coming += sum(o.count for n, o in self.books.orders.items() if o.kind == kind and n not in self.errands)
             missing = count - self.books.alive.get(kind, 0) - coming
             missing = min(missing, self.books.room) if missing > 0 else missing
             if missing <= 0:
@@ -162,28 +171,33 @@
         del self.surplus[kind]
         return min(least, more)
 
-    def _write(self, now: float, name: str, kind: str, count: int, out: Out) -> None:
+    def _write(self, now: float, name: str, kind: str, count: int, out: Effects) -> None:
         self.ordering[kind] = self.ordering.get(kind, 0) + count
 
-        def written(at: float, result: cm.Result, o: Out) -> None:
+        def written(at: float, result: cm.Result, o: Effects) -> None:
             self.ordering[kind] -= count
             self._changed()
             if result.ok:
-                self.errands[name] = Errand(self.site, name, kind, count, self.token)
+                self.pending_orders[name] = PendingOrder(self.site, name, kind, count, self.token)
 
         self.propose(now, cm.Order(duty_of(self.site), self.token, name, kind, count), written, out)
 
     def _changed(self) -> None:
         self.books, self.least = None, self.reads + 1
 
-    def _ordered(self, now: float, errand: Errand, answer: Answer, out: Out) -> None:
-        errand.answer(now, answer)
-        self.stale = self.stale or errand.stale
-        if not errand.final:
+    def _ordered(self, now: float, pending_order: PendingOrder, answer: Answer, out: Effects) -> None:
+        pending_order.answer(now, answer)
+        self.stale = self.stale or pending_order.stale
+        if not pending_order.final:
             return
 
-        def settled(at: float, result: cm.Result, o: Out) -> None:
-            self.errands.pop(errand.id, None)
+        def settled(at: float, result: cm.Result, o: Effects) -> None:
+            self.pending_orders.pop(pending_order.id, None)
             self._changed()
 
-        self.propose(now, cm.Settle(duty_of(self.site), self.token, errand.id, errand.started, True), settled, out)
+        self.propose(
+            now,
+            cm.Settle(duty_of(self.site), self.token, pending_order.id, pending_order.started, True),
+            settled,
+            out,
+        )
--- a/otterquay/fleet/yard_client.py
+++ b/otterquay/fleet/yard_client.py
@@ -5,7 +5,7 @@
 import asyncio
 from urllib.parse import urlsplit
 
-from otterquay.duties.errand import WAIT_S, Answer, Request
+from otterquay.duties.yard_orders import ANSWER_TIMEOUT_S, Answer, Request
 from otterquay.protocol.http import ResponseParser, write_request
 
 HEAD_MOST, BODY_MOST = 16 * 1024, 4 * 1024 * 1024
@@ -30,7 +30,7 @@
     path = parts.path.rstrip("/") + request.path
     writer = None
     try:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, port)
             writer.write(write_request(request.method.encode(), path.encode(), headers, request.body))
             parser = ResponseParser(HEAD_MOST, BODY_MOST)
--- a/otterquay/group/joining.py
+++ b/otterquay/group/joining.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.group.messages import Hello, Welcome
 
 KNOWN, IDENTITY = "raft-known", b"identity"
@@ -67,7 +67,7 @@
         known: dict[int, bytes],
         disk: int,
         nonce: int,
-        out: Out,
+        out: Effects,
     ) -> Joining:
         """A start with what the disk holds; `disk` names it where it is new."""
         was = msgspec.msgpack.decode(kept, type=Identity) if kept is not None else Identity(disk, 0, False)
@@ -85,7 +85,7 @@
         others = len(self.members) - 1
         return len(self.welcomed) >= (len(self.members) // 2 if self.identity.founded else others)
 
-    def ask(self, now: float, term: int, last: int, out: Out) -> None:
+    def ask(self, now: float, term: int, last: int, out: Effects) -> None:
         """Say hello to those that have not answered."""
         if self.refused or now - self.asked_at < AGAIN_S:
             return
@@ -94,19 +94,19 @@
             if member != self.me and member not in self.welcomed:
                 out.send(member, Hello(self.identity.disk, self.identity.boot, self.nonce, term, last))
 
-    def hello(self, sender: int, hello: Hello, out: Out) -> None:
+    def hello(self, sender: int, hello: Hello, out: Effects) -> None:
         """Another member has started."""
-        reason = self._against(sender, hello)
+        reason = self._refusal_reason(sender, hello)
         if not reason:
             known = Known(hello.disk, hello.boot, hello.nonce)
             if self.known.get(sender) != known:
                 self.known[sender] = known
                 out.write(KNOWN, sender.to_bytes(2), msgspec.msgpack.encode(known))
         else:
-            out.say("member_refused", member=sender, reason=reason)
+            out.log("member_refused", member=sender, reason=reason)
         out.send(sender, Welcome(hello.nonce, reason))
 
-    def _against(self, sender: int, hello: Hello) -> str:
+    def _refusal_reason(self, sender: int, hello: Hello) -> str:
         known = self.known.get(sender)
         if known is None:
             return ""
@@ -119,13 +119,13 @@
             return f"an older copy of the disk: term {hello.term} entry {hello.last} after {term}, {last}"
         return ""
 
-    def welcome(self, sender: int, welcome: Welcome, out: Out) -> None:
+    def welcome(self, sender: int, welcome: Welcome, out: Effects) -> None:
         """An answer to our hello."""
         if welcome.nonce != self.nonce or sender not in self.members or self.refused:
             return
         if welcome.reason:
             self.refused = welcome.reason
-            out.say("member_sits_out", by=sender, reason=welcome.reason)
+            out.log("member_sits_out", by=sender, reason=welcome.reason)
             return
         self.welcomed.add(sender)
         if not self.identity.founded and self.ready:
--- a/otterquay/group/handover.py
+++ b/otterquay/group/leadership.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class DiskPace:
+class SlowDiskDetector:
     """How long the leader's own writes take to last, against those of the others. Seconds.
 
     A step's messages leave once its writes last, so an answer counts from there: what a member needs for the same
--- a/otterquay/group/log.py
+++ b/otterquay/group/log.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.group.messages import Entry
 
 LOG, META = "raft-log", "raft"
@@ -62,13 +62,13 @@
             found.append(entry)
         return found
 
-    def add(self, entry: Entry, out: Out) -> int:
+    def add(self, entry: Entry, out: Effects) -> int:
         """One more at the end."""
         self.entries.append(entry)
         out.write(LOG, _key(self.last), msgspec.msgpack.encode(entry))
         return self.last
 
-    def merge(self, before: int, entries: list[Entry], out: Out) -> int:
+    def merge(self, before: int, entries: list[Entry], out: Effects) -> int:
         """Take a leader's entries after `before`; what differs goes. Returns the last index that agrees."""
         at = before
         for entry in entries:
@@ -84,12 +84,12 @@
             self.add(entry, out)
         return max(at, self.base)
 
-    def cut(self, index: int, state: bytes, out: Out) -> None:
+    def cut(self, index: int, state: bytes, out: Effects) -> None:
         """The state at `index` takes the place of the entries up to it."""
         term = self.term_at(index) or 0
         self.reset(index, term, state, self.entries[index - self.base :], out)
 
-    def reset(self, index: int, term: int, state: bytes, keep: list[Entry], out: Out) -> None:
+    def reset(self, index: int, term: int, state: bytes, keep: list[Entry], out: Effects) -> None:
         """Begin with a snapshot; the entries kept follow on it."""
         for gone in range(self.base + 1, self.last + 1):
             if not index < gone <= index + len(keep):
--- a/otterquay/group/member.py
+++ b/otterquay/group/member.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.group import messages as ms
-from otterquay.group.handover import DiskPace, successor
 from otterquay.group.joining import Joining
+from otterquay.group.leadership import SlowDiskDetector, successor
 from otterquay.group.log import LOG, META, SNAPSHOT, Log
-from otterquay.group.parts import TERM, Kept, Machine, Peer, Read, Role, Sizes, Times
+from otterquay.group.parts import TERM, HardState, Peer, PendingRead, Role, Sizes, StateMachine, Times
 
 
 @dataclass(slots=True)
@@ -27,49 +27,49 @@
 
     me: int
     members: Sequence[int]
-    machine: Machine
+    machine: StateMachine
     log: Log
     joining: Joining
     rng: random.Random
     times: Times = field(default_factory=Times)
     sizes: Sizes = field(default_factory=Sizes)
-    applied: Callable[[int, int, bytes, object, Out], None] = lambda index, term, data, result, out: None
+    applied: Callable[[int, int, bytes, object, Effects], None] = lambda index, term, data, result, out: None
     term: int = 0
-    vote: int | None = None
+    voted_for: int | None = None
     role: Role = Role.FOLLOWER
     leader: int | None = None
-    commit: int = 0
-    done: int = 0  # the last entry applied
-    lasting: int = 0  # the last entry of our own that is on the disk
-    elect_at: float = 0.0
+    commit_index: int = 0
+    last_applied: int = 0  # the last entry applied
+    durable_index: int = 0  # the last entry of our own that is on the disk
+    election_at: float = 0.0
     heard_at: float = -1e9  # of a leader
-    led_at: float = 0.0  # since when this one leads, by its own no-op being applied; 0 before
+    leading_since: float = 0.0  # since when this one leads, by its own no-op being applied; 0 before
     votes: set[int] = field(default_factory=set)
     peers: dict[int, Peer] = field(default_factory=dict)
-    reads: list[Read] = field(default_factory=list)
+    reads: list[PendingRead] = field(default_factory=list)
     round: int = 0
-    beat_at: float = 0.0
-    first: int = 0  # index of this leader's no-op
-    disk: DiskPace = field(init=False)
-    moving: bool = False  # this leader's disk is slower than others'
+    heartbeat_at: float = 0.0
+    noop_index: int = 0  # index of this leader's no-op
+    disk: SlowDiskDetector = field(init=False)
+    transfer_due: bool = False  # this leader's disk is slower than others'
 
     def __post_init__(self) -> None:
-        self.disk = DiskPace(self.times.slow)
+        self.disk = SlowDiskDetector(self.times.slow)
 
     # --- life ---
     def start(self, now: float, kept: bytes | None) -> None:
         """Begin as a follower with what the disk holds."""
         if kept is not None:
-            was: Kept = msgspec.msgpack.decode(kept, type=Kept)
-            self.term, self.vote = was.term, was.vote
+            was: HardState = msgspec.msgpack.decode(kept, type=HardState)
+            self.term, self.voted_for = was.term, was.vote
         if self.log.state is not None:
             self.machine.load(self.log.state)
-        self.commit = self.done = self.log.base
-        self.lasting = self.log.last
-        self._wait(now)
+        self.commit_index = self.last_applied = self.log.base
+        self.durable_index = self.log.last
+        self._reset_election_timer(now)
 
-    def _wait(self, now: float) -> None:
-        self.elect_at = now + self.times.election * (1.0 + self.rng.random())
+    def _reset_election_timer(self, now: float) -> None:
+        self.election_at = now + self.times.election * (1.0 + self.rng.random())
 
     @property
     def majority(self) -> int:
@@ -80,9 +80,9 @@
         """When `tick` has something to do."""
         if not self.joining.ready:
             return self.joining.asked_at + 0.5
-        return self.beat_at if self.role is Role.LEADER else self.elect_at
+        return self.heartbeat_at if self.role is Role.LEADER else self.election_at
 
-    def tick(self, now: float, out: Out) -> None:
+    def tick(self, now: float, out: Effects) -> None:
         """Time has passed."""
         if len(self.joining.welcomed) < len(self.members) - 1:
             self.joining.ask(now, self.term, self.log.last, out)
@@ -90,19 +90,19 @@
             return
         if self.role is Role.LEADER:
             if not self.confirmed(now):
-                out.say("leader_steps_down", term=self.term, reason="no majority answers")
-                return self._follow(now, None, out)
-            if now >= self.beat_at:
-                self._beat(now, out)
-        elif now >= self.elect_at:
-            self._ask(now, out)
+                out.log("leader_steps_down", term=self.term, reason="no majority answers")
+                return self._become_follower(now, None, out)
+            if now >= self.heartbeat_at:
+                self._send_heartbeats(now, out)
+        elif now >= self.election_at:
+            self._start_prevote(now, out)
 
     def confirmed(self, now: float) -> bool:
         """Whether a majority has answered this leader within the election time."""
         heard = 1 + sum(now - p.heard_at <= self.times.election for p in self.peers.values())
         return self.role is Role.LEADER and heard >= self.majority
 
-    def receive(self, now: float, sender: int, message: ms.Message, out: Out) -> None:
+    def receive(self, now: float, sender: int, message: ms.Message, out: Effects) -> None:
         """A message of another member."""
         if sender == self.me or sender not in self.members:
             return
@@ -112,7 +112,7 @@
             case ms.Welcome():
                 self.joining.welcome(sender, message, out)
                 if self.joining.refused and self.role is not Role.FOLLOWER:
-                    self._follow(now, None, out)
+                    self._become_follower(now, None, out)
                 return
         if not self.joining.ready:
             return  # what is not sure of its own past promises nothing
@@ -133,161 +133,163 @@
                 self._install(now, sender, message, out)
             case ms.Hand():
                 if message.term == self.term and self.role is Role.FOLLOWER and self.leader == sender:
-                    self._stand(now, out, True)
+                    self._start_election(now, out, True)
 
     # --- terms and elections ---
-    def _keep(self, out: Out) -> None:
-        out.write(META, TERM, msgspec.msgpack.encode(Kept(self.term, self.vote)))
+    def _persist_term(self, out: Effects) -> None:
+        out.write(META, TERM, msgspec.msgpack.encode(HardState(self.term, self.voted_for)))
 
-    def _follow(self, now: float, leader: int | None, out: Out, term: int | None = None) -> None:
+    def _become_follower(self, now: float, leader: int | None, out: Effects, term: int | None = None) -> None:
         if term is not None and term > self.term:
-            self.term, self.vote = term, None
-            self._keep(out)
+            self.term, self.voted_for = term, None
+            self._persist_term(out)
         self.role, self.leader = Role.FOLLOWER, leader
-        self.led_at = 0.0
+        self.leading_since = 0.0
         self.reads.clear()
-        self._wait(now)
+        self._reset_election_timer(now)
 
-    def _sticky(self, now: float) -> bool:
+    def _leader_is_recent(self, now: float) -> bool:
         """A leader was heard so lately that nobody needs another one."""
         return self.role is Role.LEADER or now - self.heard_at < self.times.election
 
-    def _fresh(self, last: int, last_term: int) -> bool:
+    def _log_is_up_to_date(self, last: int, last_term: int) -> bool:
         return (last_term, last) >= (self.log.last_term, self.log.last)
 
-    def _ask(self, now: float, out: Out) -> None:
-        self.role, self.leader, self.votes = Role.ASKING, None, {self.me}
-        self._wait(now)
+    def _start_prevote(self, now: float, out: Effects) -> None:
+        self.role, self.leader, self.votes = Role.PRE_CANDIDATE, None, {self.me}
+        self._reset_election_timer(now)
         if len(self.votes) >= self.majority:
-            return self._stand(now, out)
+            return self._start_election(now, out)
         for member in self.members:
             if member != self.me:
                 out.send(member, ms.PreVote(self.term + 1, self.log.last, self.log.last_term))
 
-    def _prevote(self, now: float, sender: int, m: ms.PreVote, out: Out) -> None:
-        granted = m.term > self.term and self._fresh(m.last, m.last_term) and not self._sticky(now)
+    def _prevote(self, now: float, sender: int, m: ms.PreVote, out: Effects) -> None:
+        granted = (
+            m.term > self.term and self._log_is_up_to_date(m.last, m.last_term) and not self._leader_is_recent(now)
+        )
         out.send(sender, ms.PreVoted(m.term, granted, self.term))
 
-    def _prevoted(self, now: float, sender: int, m: ms.PreVoted, out: Out) -> None:
+    def _prevoted(self, now: float, sender: int, m: ms.PreVoted, out: Effects) -> None:
         if m.own > self.term and not m.granted:
-            return self._follow(now, None, out, m.own)
-        if self.role is Role.ASKING and m.granted and m.term == self.term + 1:
+            return self._become_follower(now, None, out, m.own)
+        if self.role is Role.PRE_CANDIDATE and m.granted and m.term == self.term + 1:
             self.votes.add(sender)
             if len(self.votes) >= self.majority:
-                self._stand(now, out)
+                self._start_election(now, out)
 
-    def hand(self, now: float, out: Out, quick: bool = False) -> bool:
+    def transfer_leadership(self, now: float, out: Effects, quick: bool = False) -> bool:
         """Give the leadership away; False where nobody could take it. Not to be led by this one for a while."""
         if self.role is not Role.LEADER:
             return False
-        to = successor(now, self.peers, self.times.election, self.commit, quick)
+        to = successor(now, self.peers, self.times.election, self.commit_index, quick)
         if to is None:
             return False
-        out.say("leader_hands_over", term=self.term, to=to)
+        out.log("leader_hands_over", term=self.term, to=to)
         out.send(to, ms.Hand(self.term))
-        self._follow(now, None, out)
-        self.elect_at += 2 * self.times.election
+        self._become_follower(now, None, out)
+        self.election_at += 2 * self.times.election
         return True
 
-    def _stand(self, now: float, out: Out, handed: bool = False) -> None:
-        self.role, self.term, self.vote, self.votes = Role.CANDIDATE, self.term + 1, self.me, {self.me}
-        self._keep(out)
-        self._wait(now)
+    def _start_election(self, now: float, out: Effects, transfer: bool = False) -> None:
+        self.role, self.term, self.voted_for, self.votes = Role.CANDIDATE, self.term + 1, self.me, {self.me}
+        self._persist_term(out)
+        self._reset_election_timer(now)
         if len(self.votes) >= self.majority:
-            return self._lead(now, out)
+            return self._become_leader(now, out)
         for member in self.members:
             if member != self.me:
-                out.send(member, ms.Vote(self.term, self.log.last, self.log.last_term, handed))
+                out.send(member, ms.Vote(self.term, self.log.last, self.log.last_term, transfer))
 
-    def _vote(self, now: float, sender: int, m: ms.Vote, out: Out) -> None:
-        if self._sticky(now) and m.term > self.term and not m.handed:
+    def _vote(self, now: float, sender: int, m: ms.Vote, out: Effects) -> None:
+        if self._leader_is_recent(now) and m.term > self.term and not m.transfer:
             return
         if m.term > self.term:
-            self._follow(now, None, out, m.term)
+            self._become_follower(now, None, out, m.term)
         granted = (
             m.term == self.term
-            and self.vote in (None, sender)
-            and self._fresh(m.last, m.last_term)
+            and self.voted_for in (None, sender)
+            and self._log_is_up_to_date(m.last, m.last_term)
             and self.role is Role.FOLLOWER
         )
         if granted:
-            if self.vote is None:
-                self.vote = sender
-                self._keep(out)
-            self._wait(now)
+            if self.voted_for is None:
+                self.voted_for = sender
+                self._persist_term(out)
+            self._reset_election_timer(now)
         out.send(sender, ms.Voted(self.term, granted))
 
-    def _voted(self, now: float, sender: int, m: ms.Voted, out: Out) -> None:
+    def _voted(self, now: float, sender: int, m: ms.Voted, out: Effects) -> None:
         if m.term > self.term:
-            return self._follow(now, None, out, m.term)
+            return self._become_follower(now, None, out, m.term)
         if m.granted and m.term == self.term:
             self.joining.heard(sender, m.term, 0)
             if self.role is Role.CANDIDATE:
                 self.votes.add(sender)
                 if len(self.votes) >= self.majority:
-                    self._lead(now, out)
+                    self._become_leader(now, out)
 
-    def _lead(self, now: float, out: Out) -> None:
-        self.role, self.leader, self.led_at = Role.LEADER, self.me, 0.0
+    def _become_leader(self, now: float, out: Effects) -> None:
+        self.role, self.leader, self.leading_since = Role.LEADER, self.me, 0.0
         self.peers = {m: Peer(self.log.last + 1, heard_at=now) for m in self.members if m != self.me}
         self.reads.clear()
-        self.first = self.log.add(ms.Entry(self.term, b""), out)
-        self.disk = DiskPace(self.times.slow)
-        out.say("leads", term=self.term)
-        self._last(now, out)
-        self._beat(now, out)
+        self.noop_index = self.log.add(ms.Entry(self.term, b""), out)
+        self.disk = SlowDiskDetector(self.times.slow)
+        out.log("leads", term=self.term)
+        self._track_durability(now, out)
+        self._send_heartbeats(now, out)
 
-    def _last(self, begun: float, out: Out) -> None:
+    def _track_durability(self, begun: float, out: Effects) -> None:
         """What was just added counts for the majority once it is on this disk."""
         index, term = self.log.last, self.term
 
-        def lasts(now: float) -> None:
+        def mark_durable(now: float) -> None:
             if self.term == term:
-                self.lasting = max(self.lasting, min(index, self.log.last))
+                self.durable_index = max(self.durable_index, min(index, self.log.last))
                 if self.role is Role.LEADER and self.disk.lasted(now, index, now - begun, self.peers):
-                    self.moving = True
+                    self.transfer_due = True
 
-        out.lasting.append(lasts)
+        out.on_durable.append(mark_durable)
 
-    def settle(self, now: float, out: Out) -> None:
+    def handle_durable(self, now: float, out: Effects) -> None:
         """After writes have come to last: commit what a majority now has, and make room for a quicker disk."""
         if self.role is Role.LEADER:
             self._commit(now, out)
-        if self.moving:
-            self.moving = False
-            if self.led_at:
-                self.hand(now, out, True)
+        if self.transfer_due:
+            self.transfer_due = False
+            if self.leading_since:
+                self.transfer_leadership(now, out, True)
 
     # --- the leader's side ---
-    def propose(self, now: float, data: bytes, out: Out) -> int | None:
+    def propose(self, now: float, data: bytes, out: Effects) -> int | None:
         """Add a command; its index, or None where this member does not lead or too much waits already."""
-        if self.role is not Role.LEADER or self.log.last - self.commit >= self.sizes.uncommitted:
+        if self.role is not Role.LEADER or self.log.last - self.commit_index >= self.sizes.uncommitted:
             return None
         index = self.log.add(ms.Entry(self.term, data), out)
-        self._last(now, out)
+        self._track_durability(now, out)
         return index
 
-    def flush(self, now: float, out: Out) -> None:
+    def flush(self, now: float, out: Effects) -> None:
         """Send what was proposed to all that wait for nothing: all of one step goes in one message."""
         if self.role is Role.LEADER:
             for member, peer in self.peers.items():
                 if not peer.waiting and peer.next <= self.log.last:
-                    self._feed(now, member, peer, out)
+                    self._replicate(now, member, peer, out)
 
-    def read(self, now: float, done: Callable[[float, Out], None], out: Out) -> bool:
+    def read(self, now: float, done: Callable[[float, Effects], None], out: Effects) -> bool:
         """`done` runs when all committed before this call is applied and this one still led; False: not here."""
-        if self.role is not Role.LEADER or self.commit < self.first:
+        if self.role is not Role.LEADER or self.commit_index < self.noop_index:
             return False
         self.round += 1
-        self.reads.append(Read(self.round, self.commit, done))
+        self.reads.append(PendingRead(self.round, self.commit_index, done))
         for member, peer in self.peers.items():
-            self._feed(now, member, peer, out)
-        self._readable(now, out)
+            self._replicate(now, member, peer, out)
+        self._complete_reads(now, out)
         return True
 
-    def _beat(self, now: float, out: Out) -> None:
+    def _send_heartbeats(self, now: float, out: Effects) -> None:
         self.round += 1
-        self.beat_at = now + self.times.beat
+        self.heartbeat_at = now + self.times.heartbeat
         for member, peer in self.peers.items():
             if peer.waiting and now - peer.sent_at < self.times.resend:
                 out.send(
@@ -297,14 +299,14 @@
                         self.log.base,
                         self.log.base_term,
                         [],
-                        min(self.commit, self.log.base),
+                        min(self.commit_index, self.log.base),
                         self.round,
                     ),
                 )
             else:
-                self._feed(now, member, peer, out)
+                self._replicate(now, member, peer, out)
 
-    def _feed(self, now: float, member: int, peer: Peer, out: Out) -> None:
+    def _replicate(self, now: float, member: int, peer: Peer, out: Effects) -> None:
         before = peer.next - 1
         term = self.log.term_at(before)
         peer.sent_at = now
@@ -316,11 +318,11 @@
             return
         entries = self.log.after(before, self.sizes.entries, self.sizes.bytes)
         peer.waiting = bool(entries)
-        out.send(member, ms.Append(self.term, before, term, entries, self.commit, self.round))
+        out.send(member, ms.Append(self.term, before, term, entries, self.commit_index, self.round))
 
-    def _appended(self, now: float, sender: int, m: ms.Appended, out: Out) -> None:
+    def _appended(self, now: float, sender: int, m: ms.Appended, out: Effects) -> None:
         if m.term > self.term:
-            return self._follow(now, None, out, m.term)
+            return self._become_follower(now, None, out, m.term)
         if self.role is not Role.LEADER or m.term < self.term:
             return
         peer = self.peers[sender]
@@ -338,86 +340,88 @@
         else:
             peer.waiting = False
             peer.next = max(min(m.match + 1, peer.next - 1), peer.match + 1, 1)
-        self._readable(now, out)
+        self._complete_reads(now, out)
         if not peer.waiting and peer.next <= self.log.last:
-            self._feed(now, sender, peer, out)
+            self._replicate(now, sender, peer, out)
 
-    def _commit(self, now: float, out: Out) -> None:
-        matches = sorted([self.lasting, *(p.match for p in self.peers.values())], reverse=True)
+    def _commit(self, now: float, out: Effects) -> None:
+        matches = sorted([self.durable_index, *(p.match for p in self.peers.values())], reverse=True)
         index = matches[self.majority - 1]
-        if index > self.commit and self.log.term_at(index) == self.term:  # of its own term alone: section 5.4.2
-            self.commit = index
+        if (
+            index > self.commit_index and self.log.term_at(index) == self.term
+        ):  # of its own term alone: section 5.4.2
+            self.commit_index = index
             self._apply(now, out)
-            self._readable(now, out)
+            self._complete_reads(now, out)
 
-    def _readable(self, now: float, out: Out) -> None:
+    def _complete_reads(self, now: float, out: Effects) -> None:
         if not self.reads:
             return
         rounds = sorted([self.round, *(p.round for p in self.peers.values())], reverse=True)
-        sure = rounds[self.majority - 1]
-        ready = [r for r in self.reads if r.round <= sure and r.index <= self.done]
+        confirmed_round = rounds[self.majority - 1]
+        ready = [r for r in self.reads if r.round <= confirmed_round and r.index <= self.last_applied]
         self.reads = [r for r in self.reads if r not in ready]
         for one in ready:
             one.done(now, out)
 
-    def _apply(self, now: float, out: Out) -> None:
-        while self.done < self.commit:
-            index = self.done + 1
+    def _apply(self, now: float, out: Effects) -> None:
+        while self.last_applied < self.commit_index:
+            index = self.last_applied + 1
             entry = self.log.entries[index - self.log.base - 1]
             result = self.machine.apply(index, entry.data) if entry.data else None
-            self.done = index
-            if self.role is Role.LEADER and index >= self.first and not self.led_at:
-                self.led_at = now
+            self.last_applied = index
+            if self.role is Role.LEADER and index >= self.noop_index and not self.leading_since:
+                self.leading_since = now
             self.applied(index, entry.term, entry.data, result, out)
-        if self.done - self.log.base >= self.sizes.snapshot_after:
-            self.log.cut(self.done, self.machine.dump(), out)
+        if self.last_applied - self.log.base >= self.sizes.snapshot_after:
+            self.log.cut(self.last_applied, self.machine.dump(), out)
 
     # --- the follower's side ---
-    def _append(self, now: float, sender: int, m: ms.Append, out: Out) -> None:
+    def _append(self, now: float, sender: int, m: ms.Append, out: Effects) -> None:
         if m.term < self.term:
             out.send(sender, ms.Appended(self.term, False, 0, 0))
             return
-        self._follow(now, sender, out, m.term)
+        self._become_follower(now, sender, out, m.term)
         self.heard_at = now
         if m.before > self.log.base and self.log.term_at(m.before) != m.before_term:
             hint = min(m.before - 1, self.log.last)
-            worse = self.log.term_at(hint)
+            conflicting_term = self.log.term_at(hint)
             while (
                 hint > self.log.base
-                and worse is not None
-                and self.log.term_at(hint) == worse
-                and (worse > m.before_term)
+                and conflicting_term is not None
+                and self.log.term_at(hint) == conflicting_term
+                and (conflicting_term > m.before_term)
             ):
                 hint -= 1
             out.send(sender, ms.Appended(self.term, False, hint, m.round))
             return
         match = self.log.merge(m.before, m.entries, out) if m.entries else max(m.before, self.log.base)
-        self.lasting = self.log.last
-        if min(m.commit, match) > self.commit:
-            self.commit = min(m.commit, match)
+        self.durable_index = self.log.last
+        if min(m.commit, match) > self.commit_index:
+            self.commit_index = min(m.commit, match)
             self._apply(now, out)
         out.send(sender, ms.Appended(self.term, True, match, m.round))
 
-    def _install(self, now: float, sender: int, m: ms.Install, out: Out) -> None:
+    def _install(self, now: float, sender: int, m: ms.Install, out: Effects) -> None:
         if m.term < self.term:
             out.send(sender, ms.Appended(self.term, False, 0, 0))
             return
-        self._follow(now, sender, out, m.term)
+        self._become_follower(now, sender, out, m.term)
         self.heard_at = now
-        if m.index > self.commit:
+        if m.index > self.commit_index:
             self.machine.load(m.state)
             keep = self.log.entries[m.index - self.log.base :] if self.log.term_at(m.index) == m.index_term else []
             self.log.reset(m.index, m.index_term, m.state, keep, out)
-            self.commit = self.done = m.index
-            self.lasting = self.log.last
-            out.say("state_installed", index=m.index)
+            self.commit_index = self.last_applied = m.index
+            self.durable_index = self.log.last
+            out.log("state_installed", index=m.index)
         out.send(sender, ms.Appended(self.term, True, max(m.index, 0), m.round))
 
 
-def started(
+def load_member(
     me: int,
     members: Sequence[int],
-    machine: Machine,
+    machine: StateMachine,
     table: Mapping[str, Mapping[bytes, bytes]],
     joining: Joining,
     rng: random.Random,
--- a/otterquay/group/messages.py
+++ b/otterquay/group/messages.py
@@ -56,7 +56,7 @@
     term: Number
     last: Number
     last_term: Number
-    handed: bool = False
+    transfer: bool = False
 
 
 class Voted(msgspec.Struct, tag="voted", array_like=True, frozen=True):
--- a/otterquay/group/parts.py
+++ b/otterquay/group/parts.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 
 TERM = b"term"
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """What the log's commands act on: the same commands in the same order give the same state everywhere."""
 
     def apply(self, index: int, data: bytes) -> object: ...
@@ -28,7 +28,7 @@
 class Times:
     """Seconds. A leader beats every `beat`; elections begin after `election` to twice that without one."""
 
-    beat: float = 0.1
+    heartbeat: float = 0.1
     election: float = 1.0
     resend: float = 0.3
     slow: float = 0.25  # a leader's own write that takes longer counts against its disk
@@ -48,7 +48,7 @@
     """What a member is at the moment."""
 
     FOLLOWER = "follower"
-    ASKING = "asking"  # pre-vote
+    PRE_CANDIDATE = "asking"  # pre-vote
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -67,15 +67,15 @@
 
 
 @dataclass(slots=True)
-class Read:
+class PendingRead:
     """A read that waits for a majority to say that this is still the leader."""
 
     round: int
     index: int
-    done: Callable[[float, Out], None]
+    done: Callable[[float, Effects], None]
 
 
-class Kept(msgspec.Struct, array_like=True, frozen=True):
+class HardState(msgspec.Struct, array_like=True, frozen=True):
     """Term and vote as the disk has them."""
 
     term: int
--- a/otterquay/lab/cluster/wires.py
+++ b/otterquay/lab/cluster/wires.py
@@ -106,7 +106,7 @@
             self.judge.committed(self.now(), index, data, -1, result)
             self.done = index
             self.entries.pop(index - 2000, None)
-            for duty, state in self.books.whole.duties.items():
+            for duty, state in self.books.group_state.duties.items():
                 if state.owner is None:
                     self.free_since.setdefault(duty, self.now())
                 elif duty in self.free_since:
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from otterquay.duties.spread.names import posts_of
+from otterquay.duties.posts.names import post_names
 from otterquay.duties.state import Duties
 from otterquay.duties.token import CAPACITY, duty_of
 from otterquay.fleet.transport import Transport
@@ -140,20 +140,20 @@
 
     def _rests(self) -> bool:
         books = self.seen.books
-        whole = books.whole
+        whole = books.group_state
         if whole.orders or any(d.owner is None for d in whole.duties.values()):
             return False
         if self.cluster.owes and not all(
-            (post := whole.spread.posts.get(name)) and post.owner is not None and post.told
+            (post := whole.spread.posts.get(name)) and post.owner is not None and post.report_count
             for site, plan in self.cluster.site.items()
-            for name in posts_of([site], {site: plan.want})
+            for name in post_names([site], {site: plan.want})
         ):
             return False
         for site, book in self.yard.book.sites.items():
             if any(book.first[o].term and o not in books.closed for o in book.orders):
                 return False
             wanted = self.cluster.site[site].want
-            if any(book.alive.get(k, 0) < n for k, n in wanted.items()) and books.taken() < whole.bound:
+            if any(book.alive.get(k, 0) < n for k, n in wanted.items()) and books.committed_servers() < whole.bound:
                 return False
         return True
 
@@ -247,7 +247,7 @@
             return self.seen.coordinators.get(rest, min(a for a, s in self.sites.items() if s == rest))
         if kind == "owner":
             duty = CAPACITY if rest in ("", CAPACITY) else duty_of(rest)
-            owner = self.seen.books.whole.duties[duty].owner
+            owner = self.seen.books.group_state.duties[duty].owner
             return owner if owner is not None else 0
         return crossing if crossing is not None else 0
 
--- a/otterquay/lab/fleetsim/draw.py
+++ b/otterquay/lab/fleetsim/draw.py
@@ -398,7 +398,7 @@
         sim.run(sim.now + 3.0)
     if (leader := sim.leader()) is not None:
         sim.judge.end(sim.yard, leader.duties)
-        day.acts, day.grants = leader.duties.whole.acts, leader.duties.whole.tokens
+        day.acts, day.grants = leader.duties.group_state.acts, leader.duties.group_state.tokens
     day.counts = {**sim.judge.summary(), "stale_reads": sim.judge.counts["stale_reads"]}  # seen from inside alone
     day.notes = sim.judge.notes
     day.coordinators = len(sim.judge.leads)
--- a/otterquay/lab/fleetsim/explore.py
+++ b/otterquay/lab/fleetsim/explore.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties.token import Token
 from otterquay.group import messages as gm
 from otterquay.group.joining import Identity, Joining
@@ -85,7 +85,7 @@
             )
         )
 
-    def carry(self, agent: int, out: Out, synced: bool) -> None:
+    def carry(self, agent: int, out: Effects, synced: bool) -> None:
         """A step's writes last before its messages leave; not where a guard is out."""
         for write in out.writes if synced else ():
             if write.value is None:
@@ -141,10 +141,10 @@
 
 def _next(
     world: World,
-    act: Callable[[World, int, Callable[[Any, Out], None]], World],
+    act: Callable[[World, int, Callable[[Any, Effects], None]], World],
     begin: Callable[[int, Disk], Any],
     may_stand: Callable[[Any], bool],
-    stand: Callable[[Any, Out], None],
+    stand: Callable[[Any, Effects], None],
 ) -> list[World]:
     """Worlds one move on: a message arrives, a timer runs out, an agent begins again with its disk."""
     found = []
@@ -181,9 +181,9 @@
     peers = [(n, p.next, p.match, p.waiting) for n, p in sorted(member.peers.items())]
     return (
         member.term,
-        member.vote,
+        member.voted_for,
         member.role.value,
-        member.commit,
+        member.commit_index,
         sorted(member.votes),
         peers,
         [(e.term, e.data) for e in member.log.entries],
@@ -193,15 +193,15 @@
 def group_moves(synced: bool) -> Callable[[World], list[World]]:
     """A timer runs out, a message arrives or is lost, a member begins again with its disk."""
 
-    def act(world: World, agent: int, do: Callable[[Member, Out], None]) -> World:
-        out = Out()
+    def act(world: World, agent: int, do: Callable[[Member, Effects], None]) -> World:
+        out = Effects()
         member = world.agents[agent]
         member.heard_at = -1e9
         do(member, out)
-        for told in out.lasting:
+        for told in out.on_durable:
             told(NOW)
-        after = Out()
-        member.settle(NOW, after)
+        after = Effects()
+        member.handle_durable(NOW, after)
         world.carry(agent, out, synced)
         world.carry(agent, after, synced)
         if member.role is Role.LEADER:
@@ -209,7 +209,7 @@
         return world
 
     return lambda world: _next(
-        world, act, _member, lambda m: m.role is Role.FOLLOWER, lambda m, o: m._stand(NOW, o)
+        world, act, _member, lambda m: m.role is Role.FOLLOWER, lambda m, o: m._start_election(NOW, o)
     )
 
 
@@ -228,7 +228,9 @@
 # --- a site ---
 def _site(me: int, disk: Disk) -> Site:
     kept = disk.get((SITE, STATE), msgspec.msgpack.encode(Kept(newest=Token(4), allowed=2)))
-    site = Site.load(me, AGENTS, CHANCE, kept, Journal(), NOW, life=1 << 20, times=_TIMES, back_votes=1, out=Out())
+    site = Site.load(
+        me, AGENTS, CHANCE, kept, Journal(), NOW, incarnation=1 << 20, times=_TIMES, back_votes=1, out=Effects()
+    )
     site.heard_at = site.followed_at = -1e9
     return site
 
@@ -250,8 +252,8 @@
 def site_moves(synced: bool) -> Callable[[World], list[World]]:
     """A timer runs out, a message arrives or is lost, an agent begins again with its disk."""
 
-    def act(world: World, agent: int, do: Callable[[Site, Out], None]) -> World:
-        out = Out()
+    def act(world: World, agent: int, do: Callable[[Site, Effects], None]) -> World:
+        out = Effects()
         site = world.agents[agent]
         do(site, out)
         site.followed_at = -1e9
--- a/otterquay/lab/fleetsim/judge.py
+++ b/otterquay/lab/fleetsim/judge.py
@@ -11,7 +11,7 @@
 
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
-from otterquay.duties.spread.book import Assign, Looked
+from otterquay.duties.posts.records import Assign, Looked
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
 from otterquay.fleet import words
@@ -76,11 +76,11 @@
                     self.crossed(at, message.origin, to, words.decode(message.body))
             case dm.Propose():
                 p = message.proposal
-                self.asked[p.agent, p.life, p.number] = p.command
+                self.asked[p.agent, p.incarnation, p.number] = p.command
                 if isinstance(p.command, Looked):
                     self._looked(at, p.agent, p.command)
             case dm.Done():
-                command = self.asked.get((to, message.life, message.number))
+                command = self.asked.get((to, message.incarnation, message.number))
                 if message.result.ok:
                     self._done(at, to, command, message.result)
             case sm.Lead():
@@ -103,9 +103,9 @@
         if not isinstance(message, dm.Propose) or not isinstance(message.proposal.command, Looked):
             return
         p = message.proposal
-        if (p.agent, p.life, p.number) in self.sent:
+        if (p.agent, p.incarnation, p.number) in self.sent:
             return  # asked again: it was on its way before
-        self.sent.add((p.agent, p.life, p.number))
+        self.sent.add((p.agent, p.incarnation, p.number))
         for report in message.proposal.command.reports:
             since, newest = self.posts.get(report.post, (0.0, NONE))
             if report.token < newest and awake_since < since - 1.0 and at > since + 0.05:
@@ -241,7 +241,7 @@
     # --- the end ---
     def end(self, yard: YardBook, duties: Duties) -> None:
         """After all links have healed and the work has come to rest."""
-        whole = duties.whole
+        whole = duties.group_state
         started: dict[tuple[str, str], int] = {}
         for site, book in yard.sites.items():
             coordinated = 0
--- a/otterquay/lab/fleetsim/mutants.py
+++ b/otterquay/lab/fleetsim/mutants.py
@@ -7,11 +7,11 @@
 from typing import Any
 from unittest import mock
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
-from otterquay.duties.errand import Errand
-from otterquay.duties.lease import Book
+from otterquay.duties.lease import LeaseRegistry
 from otterquay.duties.state import Duties
+from otterquay.duties.yard_orders import PendingOrder
 from otterquay.fleet.coordinating import HandingBack
 from otterquay.fleet.sitework import SiteWork
 from otterquay.group.joining import Joining
@@ -50,20 +50,20 @@
 
 
 def _any_token(self: Duties, name: str, token: Any, by: Any) -> Any:
-    duty = self.whole.duties.get(name)
+    duty = self.group_state.duties.get(name)
     return (duty, cm.Result(True)) if duty else (None, cm.Result(False, "no duty"))
 
 
-_overdue = Book.overdue
+_overdue = LeaseRegistry.overdue
 
 
-def _no_wait(self: Book, now: float, led_at: float, duties: Duties) -> Any:
+def _no_wait(self: LeaseRegistry, now: float, led_at: float, duties: Duties) -> Any:
     """A fresh leader takes every lease for old."""
     return _overdue(self, now, -1e9, duties)
 
 
-def _sent_first(self: SiteWork, now: float, name: str, kind: str, count: int, out: Out) -> None:
-    self.errands[name] = Errand(self.site, name, kind, count, self.token)
+def _sent_first(self: SiteWork, now: float, name: str, kind: str, count: int, out: Effects) -> None:
+    self.pending_orders[name] = PendingOrder(self.site, name, kind, count, self.token)
     _write(self, now, name, kind, count, out)
 
 
@@ -71,15 +71,15 @@
 
 
 def _orders_alone(self: Duties) -> int:
-    return sum(self.alive(site, kind) for site, kinds in self.whole.running.items() for kind in kinds) + sum(
-        max(o.count, 0) for o in self.whole.orders.values()
+    return sum(self.alive(site, kind) for site, kinds in self.group_state.running.items() for kind in kinds) + sum(
+        max(o.count, 0) for o in self.group_state.orders.values()
     )
 
 
 _order = Site.order
 
 
-def _not_reserved(self: Site, now: float, kind: str, count: int, out: Out) -> bool:
+def _not_reserved(self: Site, now: float, kind: str, count: int, out: Effects) -> bool:
     """Orders at once, on its own word."""
     done = _order(self, now, kind, count, out)
     self.ready += [(self.token, r.entry, r.act) for r in self.reserves]
@@ -87,7 +87,7 @@
     return done
 
 
-def _goes_on(self: HandingBack, now: float, out: Out) -> None:
+def _goes_on(self: HandingBack, now: float, out: Effects) -> None:
     """Hands over while it still acts."""
     if self.busy or self.site.lost(now):
         return
@@ -98,7 +98,7 @@
 _stop = Site.stop
 
 
-def _never_stops(self: Site, now: float, reason: str, out: Out) -> None:
+def _never_stops(self: Site, now: float, reason: str, out: Effects) -> None:
     if reason != "the group is back":
         _stop(self, now, reason, out)
 
@@ -117,11 +117,11 @@
     return ""
 
 
-def _own_word(self: Member, now: float, out: Out) -> None:
+def _own_word(self: Member, now: float, out: Effects) -> None:
     """Commits what a majority has, whatever its term (the paper's figure 8)."""
-    matches = sorted([self.lasting, *(p.match for p in self.peers.values())], reverse=True)
-    if matches[self.majority - 1] > self.commit:
-        self.commit = matches[self.majority - 1]
+    matches = sorted([self.durable_index, *(p.match for p in self.peers.values())], reverse=True)
+    if matches[self.majority - 1] > self.commit_index:
+        self.commit_index = matches[self.majority - 1]
         self._apply(now, out)
 
 
@@ -144,24 +144,24 @@
         yield
 
 
-def _no_settlement(self: SiteWork, now: float, beat: Any, out: Out) -> None:
+def _no_settlement(self: SiteWork, now: float, beat: Any, out: Effects) -> None:
     self.phase = "run"
 
 
 def _credits_all(self: Duties, site: str, token: Any, acts: list[cm.Act]) -> None:
     for act in acts:
-        if act.what == "order" and act.id not in self.whole.orders:
+        if act.what == "order" and act.id not in self.group_state.orders:
             _take(self, site, token, [act])
             self.closed.pop(act.id, None)
 
 
-_take = Duties._take
+_take = Duties._record_acts
 
 # name: what alters the day, what patches the program, the count that shows it
 MUTANTS: dict[str, tuple[Alter, Callable[[], contextlib.AbstractContextManager[Any]], tuple[str, ...]]] = {
     "no fencing at the yard": (_no_fence, _none, ("late_harm",)),
     "no token at the group": (_nothing, patch(Duties, "_owned", _any_token), ("late_harm",)),
-    "a new leader does not wait": (_nothing, patch(Book, "overdue", _no_wait), ("two_owners",)),
+    "a new leader does not wait": (_nothing, patch(LeaseRegistry, "overdue", _no_wait), ("two_owners",)),
     "votes and entries not synced": (
         _no_sync,
         _none,
@@ -172,7 +172,7 @@
         patch(SiteWork, "_write", _sent_first),
         ("orders_lost", "over_allowance"),
     ),
-    "allowance not held apart": (_nothing, patch(Duties, "taken", _orders_alone), ("over_allowance",)),
+    "allowance not held apart": (_nothing, patch(Duties, "committed_servers", _orders_alone), ("over_allowance",)),
     "coordinator by a minority": (
         _nothing,
         patch(Site, "majority", property(lambda self: 1)),
@@ -191,7 +191,7 @@
     ),
     "empty and old disks vote in the group": (
         _nothing,
-        patch(Joining, "_against", _welcome_all),
+        patch(Joining, "_refusal_reason", _welcome_all),
         ("state_differs", "tokens_back", "two_owners", "orders_lost"),
     ),
     "empty and old disks vote in the site": (
@@ -208,7 +208,7 @@
     ),
     "a journal taken again each time it is told": (
         _nothing,
-        patch(Duties, "_take", _credits_all),
+        patch(Duties, "_record_acts", _credits_all),
         ("acts_twice", "over_allowance", "acts_lost"),
     ),
 }
--- a/otterquay/lab/fleetsim/size.py
+++ b/otterquay/lab/fleetsim/size.py
@@ -42,7 +42,7 @@
         leader = sim.leader()
         assert leader is not None
         duty = f"capacity/s{turn % count}"
-        state = leader.duties.whole.duties[duty]
+        state = leader.duties.group_state.duties[duty]
         if state.owner is None or state.owner in members:
             continue
         killed, token, at = state.owner, state.token, sim.now
@@ -50,7 +50,7 @@
 
         def again(duty: str = duty, token: object = token) -> bool:
             now = sim.leader()
-            return now is not None and now.duties.whole.duties[duty].token != token
+            return now is not None and now.duties.group_state.duties[duty].token != token
 
         if sim.run(sim.now + 60.0, again):
             unowned.append(sim.now - at)
--- a/otterquay/lab/fleetsim/spread_size.py
+++ b/otterquay/lab/fleetsim/spread_size.py
@@ -54,7 +54,7 @@
     def owners(self) -> dict[str, int | None]:
         """By post, as a leader's log has it."""
         leader = self.sim.leader()
-        return {} if leader is None else {n: p.owner for n, p in leader.duties.whole.spread.posts.items()}
+        return {} if leader is None else {n: p.owner for n, p in leader.duties.group_state.spread.posts.items()}
 
     def held(self) -> set[str]:
         """Posts that some running agent may act on now."""
@@ -84,10 +84,10 @@
     leader = sim.leader()
     assert leader is not None and leader.member is not None
     sim.messages.clear()
-    begun, first = sim.now, leader.member.done
+    begun, first = sim.now, leader.member.last_applied
     sim.run(sim.now + rest_s)
     cost.messages = sum(sim.messages.values()) / (sim.now - begun) / agents
-    cost.entries = (leader.member.done - first) / (sim.now - begun)
+    cost.entries = (leader.member.last_applied - first) / (sim.now - begun)
     loads = Counter(a for a in fleet.owners().values() if a is not None)
     cost.loads = min(loads.get(a, 0) for a in fleet.where), max(loads.values())
     share = cost.posts / agents
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field, replace
 
-from otterquay.cores.out import Out
-from otterquay.duties.errand import Answer, Request
+from otterquay.cores.effects import Effects
 from otterquay.duties.token import NONE, site_of
+from otterquay.duties.yard_orders import Answer, Request
 from otterquay.fleet import words
 from otterquay.fleet.node import Node
 from otterquay.fleet.plan import Plan
@@ -64,13 +64,13 @@
     number: int
     disk: Disk = field(default_factory=dict)
     node: Node | None = None
-    life: int = 0
+    incarnation: int = 0
     stalled: bool = False
     awake_since: float = 0.0
     failing: bool = False
     slow_s: float = 0.0  # what each write takes longer than those of the others
     backlog: list[Callable[[], None]] = field(default_factory=list)
-    steps: list[tuple[Out, float]] = field(default_factory=list)  # made when, and not yet carried out
+    steps: list[tuple[Effects, float]] = field(default_factory=list)  # made when, and not yet carried out
     writing: bool = False
     copies: list[Disk] = field(default_factory=list)
 
@@ -119,7 +119,7 @@
     def start(self, number: int) -> None:
         """Start an agent with what its disk holds."""
         host = self.hosts[number]
-        host.life += 1
+        host.incarnation += 1
         host.stalled, host.writing, host.awake_since = False, False, self.now
         host.steps.clear()
         host.backlog.clear()
@@ -127,7 +127,7 @@
         host.node = Node(replace(self.plan, me=number), host.disk, chance, self.now)
         self._watch(host)
         self._step(host, host.node.start(self.now))
-        self._tick(host, host.life)
+        self._tick(host, host.incarnation)
 
     def _watch(self, host: Host) -> None:
         node = host.node
@@ -135,7 +135,7 @@
         if node.member is not None:
             inner = node.member.applied
 
-            def applied(index: int, term: int, data: bytes, result: object, out: Out) -> None:
+            def applied(index: int, term: int, data: bytes, result: object, out: Effects) -> None:
                 self.judge.committed(self.now, index, data, host.number, result)
                 inner(index, term, data, result, out)
 
@@ -144,7 +144,7 @@
     def kill(self, number: int) -> None:
         """SIGKILL: what was not on the disk is gone."""
         host = self.hosts[number]
-        host.node, host.life = None, host.life + 1
+        host.node, host.incarnation = None, host.incarnation + 1
         host.steps.clear()
         host.backlog.clear()
         host.stalled = False
@@ -167,10 +167,10 @@
 
     def _guard(self, host: Host, what: Callable[[], None]) -> Callable[[], None]:
         """A stopped process does it once it goes on; one that has ended never."""
-        life = host.life
+        incarnation = host.incarnation
 
         def run() -> None:
-            if host.life != life or host.node is None:
+            if host.incarnation != incarnation or host.node is None:
                 return
             if host.stalled:
                 host.backlog.append(run)
@@ -179,17 +179,17 @@
 
         return run
 
-    def _tick(self, host: Host, life: int) -> None:
-        if host.life != life or host.node is None:
+    def _tick(self, host: Host, incarnation: int) -> None:
+        if host.incarnation != incarnation or host.node is None:
             return
         node = host.node
         self._step(host, node.tick(self.now))
         wait = min(max(node.due() - self.now, 0.02), 0.2)
-        self.at(self.now + wait, self._guard(host, lambda: self._tick(host, life)))
+        self.at(self.now + wait, self._guard(host, lambda: self._tick(host, incarnation)))
 
     # --- steps ---
-    def _step(self, host: Host, out: Out) -> None:
-        if out.empty():
+    def _step(self, host: Host, out: Effects) -> None:
+        if out.is_empty():
             return
         host.steps.append((out, self.now))
         if not host.writing:
@@ -216,7 +216,7 @@
             host.steps.pop(0)
             self._carry(host, out, made)
 
-    def _store(self, host: Host, out: Out) -> None:
+    def _store(self, host: Host, out: Effects) -> None:
         for write in out.writes:
             table = host.disk.setdefault(write.table, {})
             if write.value is None:
@@ -224,7 +224,7 @@
             else:
                 table[write.key] = write.value
 
-    def _written(self, host: Host, out: Out, made: float) -> None:
+    def _written(self, host: Host, out: Effects, made: float) -> None:
         host.writing = False
         if not host.steps or host.steps[0][0] is not out:
             return
@@ -233,11 +233,11 @@
         self._carry(host, out, made)
         self._next(host)
 
-    def _say(self, host: Host, out: Out) -> None:
+    def _say(self, host: Host, out: Effects) -> None:
         if self.keep_lines:
-            self.lines += [(self.now, host.number, event, fields) for event, fields in out.lines]
+            self.lines += [(self.now, host.number, event, fields) for event, fields in out.log_lines]
 
-    def _carry(self, host: Host, out: Out, made: float) -> None:
+    def _carry(self, host: Host, out: Effects, made: float) -> None:
         """Its messages leave. What it may still do is judged by when the step was made: a disk that keeps it back
         meanwhile is a stop between look and act, which no lease can prevent and every receiver's token answers.
         """
@@ -246,7 +246,7 @@
             self._send(host.number, send.to, send.message, made)
         for call in out.calls:
             self._call(host, call.tag, call.request, made)
-        if out.lasting and host.node is not None:
+        if out.on_durable and host.node is not None:
             self._step(host, host.node.lasts(self.now, out))
 
     def _delay(self, pair: tuple[int, int]) -> float:
@@ -287,10 +287,10 @@
         if request.token != NONE:  # a look at a site's list is nobody's act
             self.judge.called(made, host.number, request.path.split("/")[2], request.token, host.awake_since)
         there, back = (host.number, YARD), (YARD, host.number)
-        life = host.life
+        incarnation = host.incarnation
 
         def answer(answer: Answer) -> None:
-            if host.node is not None and host.life == life:
+            if host.node is not None and host.incarnation == incarnation:
                 self._step(host, host.node.answered(self.now, tag, answer))
 
         def arrive() -> None:
@@ -318,7 +318,7 @@
                 and node.desk
                 and node.member
                 and node.member.confirmed(self.now)
-                and (node.member.led_at)
+                and (node.member.leading_since)
             ):
                 return node
         return None
@@ -326,11 +326,11 @@
     def rests(self) -> bool:
         """Whether the group leads, no journal and no order is open, and all sites have what is wanted."""
         leader = self.leader()
-        if leader is None or leader.duties.whole.orders:
+        if leader is None or leader.duties.group_state.orders:
             return False
         if any(h.node and h.node.site.journal.acts for h in self.hosts.values()):
             return False
-        whole = leader.duties.whole
+        whole = leader.duties.group_state
         for name, duty in whole.duties.items():  # an owner that has gone is not at rest before its lease is
             owner = self.hosts[duty.owner].node if duty.owner is not None else None
             if owner is None or name not in owner.held:
@@ -340,7 +340,7 @@
         if self.plan.pace.owes and not self._posted(leader):
             return False
         return all(
-            leader.duties.alive(site, kind) >= count or whole.bound <= leader.duties.taken()
+            leader.duties.alive(site, kind) >= count or whole.bound <= leader.duties.committed_servers()
             for site, kinds in self.plan.wants.items()
             for kind, count in kinds.items()
         )
@@ -349,9 +349,9 @@
         """Whether each post is held by the agent that the group says, and has been told of."""
         assert leader.desk is not None
         for name in leader.desk.wanted():
-            post = leader.duties.whole.spread.posts.get(name)
+            post = leader.duties.group_state.spread.posts.get(name)
             holder = self.hosts[post.owner].node if post is not None and post.owner is not None else None
-            if holder is None or post is None or not post.told:
+            if holder is None or post is None or not post.report_count:
                 return False
             if holder.holder.held(self.now).get(name) != post.token:
                 return False
--- a/otterquay/runtimes/rows.py
+++ b/otterquay/runtimes/rows.py
@@ -29,7 +29,7 @@
     """What a row is about."""
 
     agent: Agent
-    life: Number
+    incarnation: Number
     epoch: Number
     cls: Word
     kind: Word
--- a/otterquay/runtimes/shared.py
+++ b/otterquay/runtimes/shared.py
@@ -28,8 +28,8 @@
 class Shared:
     """Rows of all agents, each at its newest version; our own among them. Times are seconds of our own clock."""
 
-    def __init__(self, me: int, life: int, machines: Mapping[str, Machine]) -> None:
-        self.me, self.life, self.machines = me, life, machines
+    def __init__(self, me: int, incarnation: int, machines: Mapping[str, Machine]) -> None:
+        self.me, self.incarnation, self.machines = me, incarnation, machines
         self.version = 0
         self.published: Published | None = None
         self.evidence = rw.Rows()
@@ -48,15 +48,15 @@
             self.evidence.age(epoch)
             self._first = int(now)
 
-    def reborn(self, life: int) -> None:
+    def reborn(self, incarnation: int) -> None:
         """This agent goes on under another life; what it noted stays under the one it was noted in."""
-        self.life = life
+        self.incarnation = incarnation
 
     def note(
         self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool, late: bool
     ) -> None:
         """An attempt of our own has ended."""
-        key = rw.Key(self.me, self.life, self.evidence.newest, cls, kind, server, build)
+        key = rw.Key(self.me, self.incarnation, self.evidence.newest, cls, kind, server, build)
         self.evidence.note(key, ms, alone, late)
 
     def rows(self) -> bytes:
--- a/otterquay/sites/journal.py
+++ b/otterquay/sites/journal.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
-from otterquay.duties.commands import ACTS_MOST, Act
+from otterquay.cores.effects import Effects
+from otterquay.duties.commands import MAX_ACTS, Act
 from otterquay.duties.token import Token
 
 JOURNAL = "site-journal"
@@ -30,11 +30,11 @@
             act: Act | None = msgspec.msgpack.decode(value, type=Act | None)
             self.acts.setdefault(token, {})[int.from_bytes(key[16:])] = act
 
-    def begin(self, token: Token, out: Out) -> None:
+    def begin(self, token: Token, out: Effects) -> None:
         """A coordinator's first word."""
         self._put(token, 0, None, out)
 
-    def _put(self, token: Token, number: int, act: Act | None, out: Out) -> None:
+    def _put(self, token: Token, number: int, act: Act | None, out: Effects) -> None:
         self.acts.setdefault(token, {})[number] = act
         out.write(JOURNAL, _key(token, number), msgspec.msgpack.encode(act))
 
@@ -42,13 +42,13 @@
         """Whether it takes no more."""
         return len(self.acts.get(token, ())) > ACTS_KEPT
 
-    def add(self, token: Token, act: Act, out: Out) -> int:
+    def add(self, token: Token, act: Act, out: Effects) -> int:
         """One more act; its number."""
         number = max(self.acts.get(token, {0: None})) + 1
         self._put(token, number, act, out)
         return number
 
-    def update(self, token: Token, number: int, act: Act, out: Out) -> None:
+    def update(self, token: Token, number: int, act: Act, out: Effects) -> None:
         """What became of an act."""
         if number in self.acts.get(token, {}):
             self._put(token, number, act, out)
@@ -57,9 +57,9 @@
         """The acts that may have taken effect, in pieces that fit a command; one empty piece for none."""
         known = [act for _, act in sorted(self.acts.get(token, {}).items()) if act]
         acts = [act for act in known if act.sent or act.what == "cap"]
-        return [acts[i : i + ACTS_MOST] for i in range(0, len(acts), ACTS_MOST)] or [[]]
+        return [acts[i : i + MAX_ACTS] for i in range(0, len(acts), MAX_ACTS)] or [[]]
 
-    def drop(self, token: Token, out: Out) -> None:
+    def drop(self, token: Token, out: Effects) -> None:
         """The group has taken it."""
         for number in self.acts.pop(token, {}):
             out.write(JOURNAL, _key(token, number), None)
--- a/otterquay/sites/messages.py
+++ b/otterquay/sites/messages.py
@@ -17,7 +17,7 @@
     """Told to all others of the site: how long ago the group was heard, and which start of the agent this is."""
 
     heard: Seconds
-    life: Number
+    incarnation: Number
 
 
 class Ask(msgspec.Struct, tag="ask", array_like=True, frozen=True):
@@ -37,7 +37,7 @@
     allowed: Number
     spent: Number
     caps: Caps
-    life: Number
+    incarnation: Number
 
 
 class Lead(msgspec.Struct, tag="lead", array_like=True, frozen=True):
@@ -56,13 +56,13 @@
     number: Number
     ok: bool
     newest: Token
-    life: Number
+    incarnation: Number
 
 
 class Older(msgspec.Struct, tag="older", array_like=True, frozen=True):
     """Your disk is an older copy: I have heard you in this life."""
 
-    life: Number
+    incarnation: Number
 
 
 class Released(msgspec.Struct, tag="released", array_like=True, frozen=True):
--- a/otterquay/sites/site.py
+++ b/otterquay/sites/site.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from otterquay.cores.lives import later
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
+from otterquay.cores.incarnations import is_later
 from otterquay.duties.commands import Act
 from otterquay.duties.token import NONE, Token
 from otterquay.sites import messages as ms
@@ -58,7 +58,7 @@
     allowed: int = 0
     spent: int = 0
     caps: dict[int, float] = {}
-    lives: dict[int, int] = {}  # the newest start that each other agent was heard in
+    incarnations: dict[int, int] = {}  # the newest start that each other agent was heard in
     barred: int = -1  # no vote before a settlement later than this grant: what was promised went with a disk
 
 
@@ -82,7 +82,7 @@
     journal: Journal
     times: Times = field(default_factory=Times)
     back_votes: int = 1
-    life: int = 1
+    incarnation: int = 1
     role: Role = Role.NONE
     token: Token = NONE  # of the role
     heard_at: float = -1e9  # of the group
@@ -113,19 +113,19 @@
         now: float,
         times: Times,
         back_votes: int,
-        life: int,
-        out: Out,
+        incarnation: int,
+        out: Effects,
     ) -> Site:
         """With what the disk holds. msgspec.MsgspecError: it cannot be right."""
         state: Kept = msgspec.msgpack.decode(kept, type=Kept) if kept is not None else Kept(barred=UNKNOWN)
-        site = cls(me, agents, rng, state, journal, times, back_votes, life)
+        site = cls(me, agents, rng, state, journal, times, back_votes, incarnation)
         if kept is None:  # an empty disk may have promised anything
             site._keep(out)
         site.heard_at = site.followed_at = now  # nothing was lost yet that this start could know of
         site._wait(now)
         return site
 
-    def _keep(self, out: Out) -> None:
+    def _keep(self, out: Effects) -> None:
         out.write(SITE, STATE, msgspec.msgpack.encode(self.kept))
 
     def _wait(self, now: float) -> None:
@@ -151,7 +151,14 @@
 
     # --- the group ---
     def upstream(
-        self, now: float, newest: Token, allowed: int, settled: int, floor: Token, closed: Sequence[Token], out: Out
+        self,
+        now: float,
+        newest: Token,
+        allowed: int,
+        settled: int,
+        floor: Token,
+        closed: Sequence[Token],
+        out: Effects,
     ) -> None:
         """The group was heard, directly or through another: its newest grant for this site, and journals it has."""
         if self.lost(now) or self.back_since is None:
@@ -176,7 +183,7 @@
         elif self.role in (Role.ASKING, Role.STANDING):
             self._rest(now)
 
-    def joined(self, known: bool, newest: Token, out: Out) -> None:
+    def joined(self, known: bool, newest: Token, out: Effects) -> None:
         """The group's word on an empty or older disk: one that was never here has promised nothing."""
         if self.kept.barred == UNKNOWN:
             self.kept.barred = newest.group if known else -1
@@ -191,10 +198,10 @@
         self.ballots.clear()
         self._wait(now)
 
-    def stop(self, now: float, reason: str, out: Out) -> None:
+    def stop(self, now: float, reason: str, out: Effects) -> None:
         """Act no longer; the journal stays until the group has it."""
         token = self.token
-        out.say("coordinator_stops", token=str(token), reason=reason)
+        out.log("coordinator_stops", token=str(token), reason=reason)
         self._rest(now)
         for agent in self.agents:
             if agent != self.me:
@@ -202,14 +209,14 @@
         self.released(self.me, ms.Released(token), out)
 
     # --- time ---
-    def tick(self, now: float, out: Out) -> None:
+    def tick(self, now: float, out: Effects) -> None:
         """Time has passed."""
         if now >= self.word_at:
             self.word_at = now + self.times.word
             others = [a for a in self.agents if a != self.me]
             for _ in range(min(WORDS, len(others))):  # in turn, so that a large site costs no agent more
                 self.turn = (self.turn + 1) % len(others)
-                out.send(others[self.turn], ms.Word(min(max(now - self.heard_at, 0.0), 1e9), self.life))
+                out.send(others[self.turn], ms.Word(min(max(now - self.heard_at, 0.0), 1e9), self.incarnation))
         if self.lost(now):
             self.back_since = None
         if self.role is not Role.COORDINATOR and now - self.followed_at > self.times.lease:
@@ -229,15 +236,17 @@
     def _may_vote(self, now: float) -> bool:
         return self.lost(now) and now - self.followed_at > self.times.lease
 
-    def receive(self, now: float, sender: int, message: ms.Message, out: Out) -> None:
+    def receive(self, now: float, sender: int, message: ms.Message, out: Effects) -> None:
         """A message of another agent of the site."""
         if sender == self.me or sender not in self.agents:
             return
-        if isinstance(message, ms.Word | ms.Answer | ms.Followed) and not self._newest(sender, message.life, out):
+        if isinstance(message, ms.Word | ms.Answer | ms.Followed) and not self._newest(
+            sender, message.incarnation, out
+        ):
             return
         match message:
             case ms.Older():
-                if message.life != self.life and not later(self.life, message.life):
+                if message.incarnation != self.incarnation and not is_later(self.incarnation, message.incarnation):
                     self.forgot(now, out)
             case ms.Word():
                 self.others[sender] = now - message.heard
@@ -254,31 +263,31 @@
             case ms.Ballot():
                 self.ballot(sender, message, out)
 
-    def _newest(self, sender: int, life: int, out: Out) -> bool:
+    def _newest(self, sender: int, incarnation: int, out: Effects) -> bool:
         """Whether an agent speaks from the newest start that it was heard in; an older disk has forgotten
         promises.
         """
-        known = self.kept.lives.get(sender, 0)
-        if later(life, known):
-            self.kept.lives[sender] = life
+        known = self.kept.incarnations.get(sender, 0)
+        if is_later(incarnation, known):
+            self.kept.incarnations[sender] = incarnation
             self._keep(out)
-        elif life != known:
+        elif incarnation != known:
             out.send(sender, ms.Older(known))
             return False
         return True
 
-    def forgot(self, now: float, out: Out) -> None:
+    def forgot(self, now: float, out: Effects) -> None:
         """What this disk has promised is not known: no vote until it is settled with the group."""
         if self.role is Role.COORDINATOR:
             self.stop(now, "this disk is an older copy", out)
         self._rest(now)
         if self.kept.barred < 0:
-            out.say("site_votes_barred", life=self.life)
+            out.log("site_votes_barred", life=self.incarnation)
             self.kept.barred = UNKNOWN
             self._keep(out)
 
     # --- elections ---
-    def _stand(self, now: float, pre: bool, out: Out) -> None:
+    def _stand(self, now: float, pre: bool, out: Effects) -> None:
         kept = self.kept
         self.role = Role.ASKING if pre else Role.STANDING
         self.token = Token(kept.newest.group, kept.newest.term + 1)
@@ -286,7 +295,9 @@
             kept.newest, kept.voted = self.token, self.me
             self._keep(out)
         self._wait(now)
-        mine = ms.Answer(self.token, pre, True, self.token, kept.allowed, kept.spent, dict(kept.caps), self.life)
+        mine = ms.Answer(
+            self.token, pre, True, self.token, kept.allowed, kept.spent, dict(kept.caps), self.incarnation
+        )
         self.votes = {self.me: mine}
         for agent in self.agents:
             if agent != self.me:
@@ -294,7 +305,7 @@
         if len(self.votes) >= self.majority:
             self._won(now, pre, out)
 
-    def _asked(self, now: float, sender: int, ask: ms.Ask, out: Out) -> None:
+    def _asked(self, now: float, sender: int, ask: ms.Ask, out: Effects) -> None:
         kept = self.kept
         granted = (
             kept.barred < 0
@@ -310,11 +321,18 @@
         out.send(
             sender,
             ms.Answer(
-                ask.token, ask.pre, granted, kept.newest, kept.allowed, kept.spent, dict(kept.caps), self.life
+                ask.token,
+                ask.pre,
+                granted,
+                kept.newest,
+                kept.allowed,
+                kept.spent,
+                dict(kept.caps),
+                self.incarnation,
             ),
         )
 
-    def _answered(self, now: float, sender: int, answer: ms.Answer, out: Out) -> None:
+    def _answered(self, now: float, sender: int, answer: ms.Answer, out: Effects) -> None:
         if answer.newest > self.kept.newest and not answer.granted:
             self.kept.newest, self.kept.voted = answer.newest, None  # the next try is above it
             self._keep(out)
@@ -325,7 +343,7 @@
             if len(self.votes) >= self.majority:
                 self._won(now, answer.pre, out)
 
-    def _won(self, now: float, pre: bool, out: Out) -> None:
+    def _won(self, now: float, pre: bool, out: Effects) -> None:
         if pre:
             return self._stand(now, False, out)
         kept = self.kept
@@ -339,7 +357,7 @@
         self._keep(out)
         self.acked.clear()
         self.following, self.followed_at = self.token, now
-        out.say("coordinates", token=str(self.token), allowed=kept.allowed, spent=kept.spent)
+        out.log("coordinates", token=str(self.token), allowed=kept.allowed, spent=kept.spent)
         self._beat(now, out)
 
     def _note(self, token: Token) -> None:
@@ -353,7 +371,7 @@
             del self.kept.caps[min(self.kept.caps)]
 
     # --- the coordinator ---
-    def _beat(self, now: float, out: Out) -> None:
+    def _beat(self, now: float, out: Effects) -> None:
         self.lead_at = now + self.times.lead
         self.number += 1
         for agent in self.agents:
@@ -362,7 +380,7 @@
         if self.majority == 1:
             self._reserved(out)
 
-    def _followed(self, now: float, sender: int, m: ms.Followed, out: Out) -> None:
+    def _followed(self, now: float, sender: int, m: ms.Followed, out: Effects) -> None:
         if self.role is not Role.COORDINATOR or m.token != self.token:
             return
         if not m.ok:
@@ -372,14 +390,14 @@
             self.followed_at = now
         self._reserved(out)
 
-    def _reserved(self, out: Out) -> None:
+    def _reserved(self, out: Effects) -> None:
         numbers = sorted([self.number, *(n for n, _ in self.acked.values())], reverse=True)
         sure = numbers[self.majority - 1] if len(numbers) >= self.majority else -1
         for reserve in [r for r in self.reserves if r.number <= sure]:
             self.reserves.remove(reserve)
             self.ready.append((self.token, reserve.entry, reserve.act))
 
-    def order(self, now: float, kind: str, count: int, out: Out) -> bool:
+    def order(self, now: float, kind: str, count: int, out: Effects) -> bool:
         """Order servers for the site out of what was handed to it; False where there is not so much left."""
         kept = self.kept
         if not self.acting or count <= 0 or kept.spent + count > kept.allowed or self.journal.full(self.token):
@@ -393,7 +411,7 @@
         self._beat(now, out)
         return True
 
-    def lower(self, now: float, build: int, cap: float, out: Out) -> bool:
+    def lower(self, now: float, build: int, cap: float, out: Effects) -> bool:
         """Lower a build's cap within the site. It never rises here."""
         if not self.acting or cap >= self.kept.caps.get(build, 1.0) or self.journal.full(self.token):
             return False
@@ -404,7 +422,7 @@
         self._beat(now, out)
         return True
 
-    def ballot(self, sender: int, ballot: ms.Ballot, out: Out) -> None:
+    def ballot(self, sender: int, ballot: ms.Ballot, out: Effects) -> None:
         """An agent's own verdict; as many as the desk would need give the build up within the site."""
         votes = self.ballots.setdefault(ballot.build, set())
         (votes.add if ballot.back else votes.discard)(sender)
@@ -420,10 +438,10 @@
         ]
 
     # --- those who follow ---
-    def _lead(self, now: float, sender: int, m: ms.Lead, out: Out) -> None:
+    def _lead(self, now: float, sender: int, m: ms.Lead, out: Effects) -> None:
         kept = self.kept
         if m.token < kept.newest or (m.token == kept.newest and kept.voted not in (None, sender)):
-            out.send(sender, ms.Followed(m.token, m.number, False, kept.newest, self.life))
+            out.send(sender, ms.Followed(m.token, m.number, False, kept.newest, self.incarnation))
             return
         if self.role is not Role.NONE:
             self._rest(now)
@@ -436,9 +454,9 @@
             self._keep(out)
         self.following, self.followed_at = m.token, now
         self._wait(now)
-        out.send(sender, ms.Followed(m.token, m.number, True, kept.newest, self.life))
+        out.send(sender, ms.Followed(m.token, m.number, True, kept.newest, self.incarnation))
 
-    def released(self, sender: int, m: ms.Released, out: Out) -> None:
+    def released(self, sender: int, m: ms.Released, out: Effects) -> None:
         """The coordinator of that token has stopped."""
         if m.token == self.following:
             self.following, self.followed_at = NONE, -1e9
--- a/otterquay/standins/yard.py
+++ b/otterquay/standins/yard.py
@@ -8,8 +8,8 @@
 import random
 from dataclasses import dataclass, field
 
-from otterquay.duties.errand import Answer, Request
 from otterquay.duties.token import Token
+from otterquay.duties.yard_orders import Answer, Request
 from otterquay.protocol.http import HttpRequest, write_response
 from otterquay.standins.http import Listener, Peer
 from otterquay.standins.yard_book import YardBook
--- a/otterquay/standins/yard_book.py
+++ b/otterquay/standins/yard_book.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from otterquay.duties.errand import Answer, Listed, Ordered, Request, Wanted
 from otterquay.duties.token import NONE, Token
+from otterquay.duties.yard_orders import Answer, OrderBody, Request, SiteListing, YardOrder
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
     """One site: its newest token, its orders and servers."""
 
     fence: Token = NONE
-    orders: dict[str, Ordered] = field(default_factory=dict)
+    orders: dict[str, YardOrder] = field(default_factory=dict)
     first: dict[str, Token] = field(default_factory=dict)  # by whose token an order was first taken
     alive: dict[str, int] = field(default_factory=dict)
     ended: dict[str, int] = field(default_factory=dict)
@@ -96,7 +96,7 @@
         return Answer(404)
 
     def _list(self, book: SiteBook) -> Answer:
-        listed = Listed(
+        listed = SiteListing(
             [msgspec.structs.replace(o, token=str(book.first[o.id])) for o in book.orders.values()],
             dict(book.alive),
             dict(book.ended),
@@ -106,7 +106,7 @@
 
     def _order(self, at: float, agent: int, name: str, book: SiteBook, request: Request) -> Answer:
         try:
-            wanted: Wanted = msgspec.json.decode(request.body, type=Wanted)
+            wanted: OrderBody = msgspec.json.decode(request.body, type=OrderBody)
         except msgspec.MsgspecError:
             self._note(at, agent, name, request, "refused")
             return Answer(400)
@@ -118,7 +118,7 @@
         if known and (known.kind, known.count) != (wanted.kind, wanted.count):
             return Answer(422)
         if known is None or not self.remembers:
-            known = Ordered(request.key, wanted.kind, wanted.count, 0, str(request.token))
+            known = YardOrder(request.key, wanted.kind, wanted.count, 0, str(request.token))
             book.first.setdefault(request.key, request.token)
         else:
             self._note(at, agent, name, request, "repeated")
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.fleet.node import TABLES
 from otterquay.fleet.shell import tables
 from otterquay.group.log import LOG, META, Log
@@ -36,7 +36,7 @@
         self.files = self.again()
         self.store = await open_store(self.files, silent(), lambda: 0.0)
 
-    async def write(self, out: Out) -> None:
+    async def write(self, out: Effects) -> None:
         assert self.store is not None
         await self.store.commit(
             [Delete(w.table, w.key) if w.value is None else Put(w.table, w.key, w.value) for w in out.writes]
@@ -55,14 +55,14 @@
 class Forgets(Kept):
     """Broken: says done before it is."""
 
-    async def write(self, out: Out) -> None:
+    async def write(self, out: Effects) -> None:
         pass
 
 
 class Keeps(Kept):
     """Broken: never removes."""
 
-    async def write(self, out: Out) -> None:
+    async def write(self, out: Effects) -> None:
         out.writes = [w for w in out.writes if w.value is not None]
         await super().write(out)
 
@@ -88,7 +88,7 @@
     await kept.open()
     log, state = Log(), []
     for turn in range(60):
-        out = Out()
+        out = Effects()
         if turn % 7 == 6:
             log.merge(max(log.last - 2, log.base), [Entry(turn, b"other%d" % turn)], out)
         elif turn % 20 == 19:
@@ -110,7 +110,7 @@
 async def steps_are_whole_and_removed_is_removed(kept: Kept) -> None:
     await kept.open()
     for i in range(20):
-        out = Out()
+        out = Effects()
         for table in TABLES:
             out.write(table, b"k", b"%d" % i)
             out.write(table, b"gone%d" % i, b"x")
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from otterquay.cores import lives
-from otterquay.cores.out import Out
+from otterquay.cores import incarnations
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
-from otterquay.duties.errand import Answer, Errand, Ordered
-from otterquay.duties.lease import Book, Terms
+from otterquay.duties.lease import LeaseRegistry, LeaseTerms
 from otterquay.duties.state import Duties
 from otterquay.duties.token import CAPACITY, Token, duty_of
+from otterquay.duties.yard_orders import Answer, PendingOrder, YardOrder
 from otterquay.standins.yard_book import YardBook
 
 NORTH = duty_of("north")
@@ -25,10 +25,14 @@
     def __init__(self, bound: int = 20) -> None:
         self.books, self.numbers, self.index = Duties(["north", "south"], bound), dict[tuple[int, int], int](), 0
 
-    def do(self, agent: int, command: cm.Command, life: int = 1 << lives.BITS, number: int = 0) -> cm.Result:
+    def do(
+        self, agent: int, command: cm.Command, incarnation: int = 1 << incarnations.RANDOM_BITS, number: int = 0
+    ) -> cm.Result:
         self.index += 1
-        self.numbers[agent, life] = number or self.numbers.get((agent, life), 0) + 1
-        return self.books.apply(self.index, cm.encode(cm.Proposal(agent, life, self.numbers[agent, life], command)))
+        self.numbers[agent, incarnation] = number or self.numbers.get((agent, incarnation), 0) + 1
+        return self.books.apply(
+            self.index, cm.encode(cm.Proposal(agent, incarnation, self.numbers[agent, incarnation], command))
+        )
 
     def own(self, agent: int, duty: str = NORTH) -> Token:
         result = self.do(agent, cm.Claim(duty))
@@ -58,11 +62,11 @@
 def test_a_lease_that_was_renewed_meanwhile_does_not_expire() -> None:
     group = Group()
     token = group.own(1)
-    renewals = group.books.whole.duties[NORTH].renewals
+    renewals = group.books.group_state.duties[NORTH].renewals
     assert group.do(1, cm.Renew(NORTH, token)).ok
     assert not group.do(9, cm.Expire(NORTH, token, renewals)).ok
     assert group.do(9, cm.Expire(NORTH, token, renewals + 1)).ok
-    assert group.books.whole.duties[NORTH].owner is None
+    assert group.books.group_state.duties[NORTH].owner is None
 
 
 def test_a_repeated_proposal_gets_its_first_answer_and_does_nothing_twice() -> None:
@@ -70,9 +74,9 @@
     first = group.do(1, cm.Claim(NORTH), number=5)
     assert group.do(1, cm.Claim(NORTH), number=5) == first and first.ok
     assert group.do(1, cm.Claim(CAPACITY), number=4).reason == "done before"
-    later = 2 << lives.BITS
+    later = 2 << incarnations.RANDOM_BITS
     assert group.do(1, cm.Claim(CAPACITY), later, 1).ok
-    assert group.do(1, cm.Renew(NORTH, first.token), 1 << lives.BITS, 9).reason == "an earlier life"
+    assert group.do(1, cm.Renew(NORTH, first.token), 1 << incarnations.RANDOM_BITS, 9).reason == "an earlier life"
     assert group.do(1, cm.Renew(NORTH, first.token), later | 7, 9).reason == "an earlier life", "a copy"
 
 
@@ -86,7 +90,7 @@
     assert group.do(1, cm.Settle(NORTH, north, "a", 4, True)).ok, "only four were started"
     assert group.do(1, cm.Order(NORTH, north, "b", "x", 2)).ok
     assert group.do(1, cm.Ended(NORTH, north, "x", 3)).ok
-    assert group.books.alive("north", "x") == 1 and group.books.taken() == 7
+    assert group.books.alive("north", "x") == 1 and group.books.committed_servers() == 7
 
 
 def test_an_act_is_taken_once_by_journal_list_or_both_and_leaves_the_allowance() -> None:
@@ -96,8 +100,8 @@
     act = cm.Act("5.1-1-3", "order", "x", 3, 3, sent=True)
     for _ in range(2):
         assert group.do(3, cm.Handover("north", Token(1, 1), [act], True)).ok
-    whole = group.books.whole
-    assert whole.sites["north"].spent == 3 and whole.acts == 1 and group.books.taken() == 3 + 2
+    whole = group.books.group_state
+    assert whole.sites["north"].spent == 3 and whole.acts == 1 and group.books.committed_servers() == 3 + 2
     assert group.books.open_journals("north", [Token(1, 1), Token(1, 2)]) == [Token(1, 2)]
     owner = group.own(1)
     assert group.do(1, cm.Found(NORTH, owner, [act, cm.Act("5.2-1-4", "order", "x", 1, 1)], 4, True)).ok
@@ -134,11 +138,11 @@
 
 
 def test_an_owner_counts_from_before_it_asked_and_a_fresh_leader_from_its_own_beginning() -> None:
-    terms = Terms(lease=4.0, drift=0.1)
+    terms = LeaseTerms(lease=4.0, drift=0.1)
     assert terms.owner == pytest.approx(3.6) and terms.group == pytest.approx(4.4)
     group = Group()
     group.own(1)
-    book = Book(terms)
+    book = LeaseRegistry(terms)
     assert book.overdue(10.0, 9.0, group.books) == []
     assert book.overdue(13.3, 9.0, group.books) == []
     assert [name for name, _, _ in book.overdue(13.5, 9.0, group.books)] == [NORTH]
@@ -149,31 +153,31 @@
 
 def test_an_order_is_asked_for_again_under_one_id_until_it_is_whole_and_then_cancelled() -> None:
     yard = YardBook(random.Random(1), half=1.0)
-    errand, now = Errand("north", "1.0-1", "x", 1000, Token(1)), 0.0
+    pending_order, now = PendingOrder("north", "1.0-1", "x", 1000, Token(1)), 0.0
     asked = []
-    while not errand.final and now < 60:
+    while not pending_order.final and now < 60:
         now += 0.5
-        errand.overdue(now)
-        if request := errand.step(now):
+        pending_order.overdue(now)
+        if request := pending_order.step(now):
             asked.append(request)
             answer = yard.answer(now, 1, request)
             if len(asked) % 3:
-                errand.answer(now, answer)
-    assert errand.final and {r.key for r in asked} == {"1.0-1"} and asked[-1].method == "DELETE"
+                pending_order.answer(now, answer)
+    assert pending_order.final and {r.key for r in asked} == {"1.0-1"} and asked[-1].method == "DELETE"
     order = yard.site("north").orders["1.0-1"]
-    assert order.cancelled and errand.started == order.started == yard.site("north").alive["x"] < 1000
+    assert order.cancelled and pending_order.started == order.started == yard.site("north").alive["x"] < 1000
 
 
 def test_a_refused_token_ends_an_errand_and_a_spoilt_answer_does_not() -> None:
-    errand = Errand("north", "1.0-1", "x", 2, Token(1))
-    assert errand.step(0.0) is not None and errand.step(0.0) is None
-    errand.answer(0.1, Answer(201, "", b"{"))
-    assert not errand.final and errand.step(5.0) is not None
-    errand.answer(5.1, Answer(201, "", msgspec.json.encode(Ordered("other", "x", 2, 2, "1.0"))))
-    assert not errand.final
-    assert errand.step(9.0) is not None
-    errand.answer(9.1, Answer(409, "2.0"))
-    assert errand.stale and errand.step(99.0) is None
+    pending_order = PendingOrder("north", "1.0-1", "x", 2, Token(1))
+    assert pending_order.step(0.0) is not None and pending_order.step(0.0) is None
+    pending_order.answer(0.1, Answer(201, "", b"{"))
+    assert not pending_order.final and pending_order.step(5.0) is not None
+    pending_order.answer(5.1, Answer(201, "", msgspec.json.encode(YardOrder("other", "x", 2, 2, "1.0"))))
+    assert not pending_order.final
+    assert pending_order.step(9.0) is not None
+    pending_order.answer(9.1, Answer(409, "2.0"))
+    assert pending_order.stale and pending_order.step(99.0) is None
 
 
 @pytest.mark.parametrize("text", ["", "1", "1.", ".1", "a.b", "1.2.3", "-1.0", f"{2**62}.0", "1.0 "])
@@ -181,4 +185,4 @@
     with pytest.raises(ValueError, match="no token"):
         Token.parse(text)
     assert Token.parse(str(Token(3, 4))) == Token(3, 4)
-    assert Out().empty()
+    assert Effects().is_empty()
--- a/tests/fleet/test_group.py
+++ b/tests/fleet/test_group.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.group import messages as ms
 from otterquay.group.joining import Identity, Joining, Known
 from otterquay.group.log import Log
@@ -41,19 +41,19 @@
     return one, tape
 
 
-def lasting(one: Member, now: float, out: Out) -> Out:
+def lasting(one: Member, now: float, out: Effects) -> Effects:
     """The step's writes have come to last."""
-    for told in out.lasting:
+    for told in out.on_durable:
         told(now)
-    after = Out()
-    one.settle(now, after)
+    after = Effects()
+    one.handle_durable(now, after)
     return after
 
 
 def led(count: int = 3) -> tuple[Member, Tape]:
     """A member that leads in term 1."""
     one, tape = member(count=count)
-    out = Out()
+    out = Effects()
     one.tick(5.0, out)
     one.receive(5.0, 1, ms.PreVoted(1, True, 0), out)
     one.receive(5.0, 1, ms.Voted(1, True), out)
@@ -62,39 +62,39 @@
     return one, tape
 
 
-def sent(out: Out, kind: type) -> list[Any]:
+def sent(out: Effects, kind: type) -> list[Any]:
     return [s.message for s in out.sends if isinstance(s.message, kind)]
 
 
 def test_nobody_is_asked_for_a_vote_in_a_term_before_a_majority_would_give_it() -> None:
     one, _ = member()
-    out = Out()
+    out = Effects()
     one.tick(5.0, out)
-    assert one.role is Role.ASKING and one.term == 0 and len(sent(out, ms.PreVote)) == 2 and not out.writes
+    assert one.role is Role.PRE_CANDIDATE and one.term == 0 and len(sent(out, ms.PreVote)) == 2 and not out.writes
     one.receive(5.0, 1, ms.PreVoted(1, True, 0), out)
     assert one.role is Role.CANDIDATE and one.term == 1 and len(sent(out, ms.Vote)) == 2 and out.writes
 
 
 def test_a_vote_is_written_before_it_is_told_and_given_once_a_term() -> None:
     one, _ = member()
-    out = Out()
+    out = Effects()
     one.receive(5.0, 1, ms.Vote(3, 0, 0), out)
     assert sent(out, ms.Voted) == [ms.Voted(3, True)] and any(w.key == b"term" for w in out.writes)
-    again = Out()
+    again = Effects()
     one.receive(5.0, 2, ms.Vote(3, 0, 0), again)
     assert sent(again, ms.Voted) == [ms.Voted(3, False)]
     other, _ = member()
     kept = [w.value for w in out.writes if w.key == b"term"][-1]
     other.start(0.0, kept)
-    back = Out()
+    back = Effects()
     other.receive(5.0, 2, ms.Vote(3, 0, 0), back)
     assert sent(back, ms.Voted) == [ms.Voted(3, False)], "the vote outlasts a restart"
 
 
 def test_a_leader_that_is_heard_is_not_voted_out() -> None:
     one, _ = member()
-    one.receive(5.0, 1, ms.Append(2, 0, 0, [], 0, 1), Out())
-    out = Out()
+    one.receive(5.0, 1, ms.Append(2, 0, 0, [], 0, 1), Effects())
+    out = Effects()
     one.receive(5.5, 2, ms.PreVote(9, 5, 2), out)
     one.receive(5.5, 2, ms.Vote(9, 5, 2), out)
     assert sent(out, ms.PreVoted) == [ms.PreVoted(9, False, 2)] and not sent(out, ms.Voted) and one.term == 2
@@ -102,24 +102,24 @@
 
 def test_what_is_not_on_the_own_disk_yet_does_not_count_for_the_majority() -> None:
     one, tape = led()
-    out = Out()
+    out = Effects()
     one.propose(5.1, b"a", out)
     one.flush(5.1, out)
-    early = Out()
+    early = Effects()
     one.receive(5.2, 1, ms.Appended(1, True, 1, 1), early)
-    assert one.commit == 1, "the no-op, which lasts, is on two of three"
+    assert one.commit_index == 1, "the no-op, which lasts, is on two of three"
     one.receive(5.2, 2, ms.Appended(1, True, 1, 1), early)
-    assert one.commit == 1 and tape.told == []
+    assert one.commit_index == 1 and tape.told == []
     one.receive(5.3, 1, ms.Appended(1, True, 2, 1), early)
-    assert one.commit == 1, "entry 2 is on one disk alone"
+    assert one.commit_index == 1, "entry 2 is on one disk alone"
     lasting(one, 5.4, out)
-    assert one.commit == 2 and tape.told == [b"a"]
+    assert one.commit_index == 2 and tape.told == [b"a"]
 
 
 def test_an_entry_of_an_earlier_term_is_committed_only_with_one_of_this_term() -> None:
     """The paper's figure 8: a majority has it, and it may still be overwritten."""
     one, tape = member(count=5)
-    out = Out()
+    out = Effects()
     one.receive(1.0, 1, ms.Append(2, 0, 0, [ms.Entry(2, b"old")], 0, 1), out)
     one.tick(9.0, out)
     for voter in (1, 2):
@@ -129,23 +129,25 @@
     assert one.role is Role.LEADER and one.term == 3
     lasting(one, 9.0, out)
     for voter in (1, 2):
-        one.receive(9.1, voter, ms.Appended(3, True, 1, 1), Out())
-    assert one.commit == 0 and tape.told == [], "entry 1 of term 2 is on three of five and not committed"
+        one.receive(9.1, voter, ms.Appended(3, True, 1, 1), Effects())
+    assert one.commit_index == 0 and tape.told == [], "entry 1 of term 2 is on three of five and not committed"
     for voter in (1, 2):
-        one.receive(9.2, voter, ms.Appended(3, True, 2, 1), Out())
-    assert one.commit == 2 and tape.told == [b"old"]
+        one.receive(9.2, voter, ms.Appended(3, True, 2, 1), Effects())
+    assert one.commit_index == 2 and tape.told == [b"old"]
 
 
 def test_what_differs_from_the_leaders_log_goes_and_what_agrees_stays() -> None:
     one, _ = member()
-    one.receive(1.0, 1, ms.Append(1, 0, 0, [ms.Entry(1, b"a"), ms.Entry(1, b"b"), ms.Entry(1, b"c")], 1, 1), Out())
-    out = Out()
+    one.receive(
+        1.0, 1, ms.Append(1, 0, 0, [ms.Entry(1, b"a"), ms.Entry(1, b"b"), ms.Entry(1, b"c")], 1, 1), Effects()
+    )
+    out = Effects()
     one.receive(2.0, 2, ms.Append(2, 1, 1, [ms.Entry(2, b"x")], 1, 1), out)
     assert [e.data for e in one.log.entries] == [b"a", b"x"]
-    late = Out()
+    late = Effects()
     one.receive(2.1, 2, ms.Append(2, 0, 0, [ms.Entry(1, b"a")], 1, 1), late)
     assert [e.data for e in one.log.entries] == [b"a", b"x"], "a late, shorter message takes nothing away"
-    gap = Out()
+    gap = Effects()
     one.receive(2.2, 2, ms.Append(2, 7, 2, [ms.Entry(2, b"z")], 1, 1), gap)
     assert sent(gap, ms.Appended) == [ms.Appended(2, False, 2, 1)]
 
@@ -153,47 +155,47 @@
 def test_a_follower_that_is_far_behind_gets_the_state_and_goes_on_from_there() -> None:
     one, tape = led()
     for i in range(30):
-        out = Out()
+        out = Effects()
         one.propose(6.0, b"%d" % i, out)
         lasting(one, 6.0, out)
     one.sizes = Sizes(snapshot_after=10)
-    one.receive(6.0, 1, ms.Appended(1, True, 31, 1), Out())
+    one.receive(6.0, 1, ms.Appended(1, True, 31, 1), Effects())
     assert one.log.base == 31 and one.log.entries == []
-    out = Out()
+    out = Effects()
     one.receive(6.1, 2, ms.Appended(1, False, 0, 1), out)
     install = sent(out, ms.Install)[-1]
     other, other_tape = member(2)
-    back = Out()
+    back = Effects()
     other.receive(6.2, 0, install, back)
-    assert other_tape.told == tape.told and other.log.last == 31 and other.done == 31
+    assert other_tape.told == tape.told and other.log.last == 31 and other.last_applied == 31
     assert sent(back, ms.Appended) == [ms.Appended(1, True, 31, install.round)]
 
 
 def test_a_read_waits_for_a_majority_to_say_that_this_is_still_the_leader() -> None:
     one, _ = led()
-    one.receive(5.1, 1, ms.Appended(1, True, 1, 1), Out())
+    one.receive(5.1, 1, ms.Appended(1, True, 1, 1), Effects())
     done: list[float] = []
-    assert one.read(5.2, lambda now, out: done.append(now), Out())
+    assert one.read(5.2, lambda now, out: done.append(now), Effects())
     assert not done
-    one.receive(5.3, 1, ms.Appended(1, True, 1, one.round - 1), Out())
+    one.receive(5.3, 1, ms.Appended(1, True, 1, one.round - 1), Effects())
     assert not done, "an answer to an earlier round proves nothing"
-    one.receive(5.4, 1, ms.Appended(1, True, 1, one.round), Out())
+    one.receive(5.4, 1, ms.Appended(1, True, 1, one.round), Effects())
     assert done == [5.4]
-    assert not member()[0].read(5.2, lambda now, out: None, Out())
+    assert not member()[0].read(5.2, lambda now, out: None, Effects())
 
 
 def test_a_leader_that_hears_no_majority_steps_down() -> None:
     one, _ = led()
-    out = Out()
+    out = Effects()
     one.tick(7.0, out)
-    assert one.role is Role.FOLLOWER and [event for event, _ in out.lines] == ["leader_steps_down"]
-    assert one.propose(7.0, b"a", Out()) is None
+    assert one.role is Role.FOLLOWER and [event for event, _ in out.log_lines] == ["leader_steps_down"]
+    assert one.propose(7.0, b"a", Effects()) is None
 
 
 def test_more_than_may_wait_for_a_majority_is_not_taken() -> None:
     one, _ = led()
     one.sizes = Sizes(uncommitted=3)
-    assert [one.propose(5.0, b"x", Out()) for _ in range(4)] == [2, 3, None, None]
+    assert [one.propose(5.0, b"x", Effects()) for _ in range(4)] == [2, 3, None, None]
 
 
 # --- disks that have forgotten ---
@@ -211,14 +213,14 @@
     ],
 )
 def test_a_start_is_welcomed_unless_its_disk_has_forgotten(hello: ms.Hello, reason: str) -> None:
-    one, out = joining({1: Known(5, 2, 8)}), Out()
+    one, out = joining({1: Known(5, 2, 8)}), Effects()
     one.hello(1, hello, out)
     (welcome,) = sent(out, ms.Welcome)
     assert welcome.reason.startswith(reason) and bool(welcome.reason) == bool(reason)
 
 
 def test_one_that_was_heard_further_on_is_an_older_copy() -> None:
-    one, out = joining({1: Known(5, 2, 8)}), Out()
+    one, out = joining({1: Known(5, 2, 8)}), Effects()
     one.heard(1, 4, 20)
     one.hello(1, ms.Hello(5, 3, 11, 4, 12), out)
     assert "entry 12 after 4, 20" in sent(out, ms.Welcome)[0].reason
@@ -227,21 +229,21 @@
 def test_a_new_disk_takes_part_once_all_know_it_and_an_old_one_with_a_majority() -> None:
     new, old = joining(founded=False), joining()
     for one in (new, old):
-        one.welcome(1, ms.Welcome(99, ""), Out())
+        one.welcome(1, ms.Welcome(99, ""), Effects())
     assert old.ready and not new.ready
-    out = Out()
+    out = Effects()
     new.welcome(2, ms.Welcome(98, ""), out)
     assert not new.ready, "an answer to another start"
     new.welcome(2, ms.Welcome(99, ""), out)
     assert new.ready and out.writes
-    old.welcome(2, ms.Welcome(99, "another disk"), Out())
+    old.welcome(2, ms.Welcome(99, "another disk"), Effects())
     assert not old.ready, "one refusal is enough, also late"
 
 
 def test_a_member_that_may_not_take_part_promises_nothing() -> None:
     one, _ = member()
     one.joining.welcomed.clear()
-    out = Out()
+    out = Effects()
     one.tick(9.0, out)
     for message in (ms.Vote(3, 9, 3), ms.PreVote(3, 9, 3), ms.Append(3, 0, 0, [ms.Entry(3, b"a")], 1, 1)):
         one.receive(9.0, 1, message, out)
