--- a/tests/fleet/test_handover.py
+++ b/tests/fleet/test_handover.py
@@ -6,39 +6,39 @@
 from test_group import lasting, led, member, sent
 from test_owners import PLAN, running
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.group import messages as ms
-from otterquay.group.handover import IN_A_ROW, DiskPace, successor
+from otterquay.group.leadership import IN_A_ROW, SlowDiskDetector, successor
 from otterquay.group.parts import Peer, Role
 from otterquay.lab.fleetsim.world import Sim
 
 
 def test_the_furthest_log_takes_over_at_once_and_voters_that_hear_a_leader_let_it_through() -> None:
     one, _ = led()
-    out = Out()
+    out = Effects()
     one.propose(5.1, b"x", out)
     lasting(one, 5.1, out)
     one.receive(5.2, 2, ms.Appended(1, True, 2, 1), out)
     one.receive(5.2, 1, ms.Appended(1, True, 1, 1), out)
-    out = Out()
-    assert one.hand(5.2, out)
+    out = Effects()
+    assert one.transfer_leadership(5.2, out)
     assert [(s.to, s.message) for s in out.sends] == [(2, ms.Hand(1))] and one.role is Role.FOLLOWER
     voter, _ = member(1)
-    heard = Out()
+    heard = Effects()
     voter.receive(5.2, 0, ms.Append(1, 0, 0, [], 0, 1), heard)
     voter.receive(5.25, 2, ms.Vote(2, 2, 1), heard)
     assert not sent(heard, ms.Voted), "it has just heard a leader"
     voter.receive(5.25, 2, ms.Vote(2, 2, 1, True), heard)
-    assert sent(heard, ms.Voted) == [ms.Voted(2, True)] and voter.vote == 2
+    assert sent(heard, ms.Voted) == [ms.Voted(2, True)] and voter.voted_for == 2
     voter.receive(5.26, 0, ms.Vote(2, 9, 9, True), heard)
     assert sent(heard, ms.Voted)[-1] == ms.Voted(2, False), "one vote a term, handed or not"
 
 
 def test_a_handed_vote_is_refused_to_a_log_that_lacks_something() -> None:
     one, _ = led()
-    out = Out()
+    out = Effects()
     one.propose(5.1, b"x", out)
-    one.hand(5.2, out)
+    one.transfer_leadership(5.2, out)
     one.receive(5.3, 1, ms.Vote(2, 0, 0, True), out)
     assert sent(out, ms.Voted)[-1] == ms.Voted(2, False)
 
@@ -46,12 +46,12 @@
 @pytest.mark.parametrize(("sender", "term"), [(2, 1), (1, 0), (1, 2)])
 def test_a_word_that_is_not_the_leaders_of_this_term_moves_nobody(sender: int, term: int) -> None:
     one, _ = member(0)
-    out = Out()
+    out = Effects()
     one.receive(5.0, 1, ms.Append(1, 0, 0, [], 0, 1), out)
     one.receive(5.1, sender, ms.Hand(term), out)
     assert one.role is Role.FOLLOWER and one.term == 1 and not sent(out, ms.Vote)
     one.receive(5.1, 1, ms.Hand(1), out)
-    assert one.role is Role.CANDIDATE and [v.handed for v in sent(out, ms.Vote)] == [True, True]
+    assert one.role is Role.CANDIDATE and [v.transfer for v in sent(out, ms.Vote)] == [True, True]
 
 
 def test_nobody_that_is_not_heard_or_lacks_what_is_committed_is_named() -> None:
@@ -64,12 +64,14 @@
     assert successor(10.0, peers, 2.0, 5) is None
     assert successor(10.0, peers, 20.0, 5) == 2
     one, _ = led()
-    assert not one.hand(99.0, Out()) and one.role is Role.LEADER, "it goes on; its majority may be back"
+    assert not one.transfer_leadership(99.0, Effects()) and one.role is Role.LEADER, (
+        "it goes on; its majority may be back"
+    )
 
 
 def test_a_disk_counts_as_slow_only_after_some_writes_and_against_a_quicker_one() -> None:
     def samples(own: list[float], theirs: float, answers: bool = True) -> list[bool]:
-        pace, peer, found = DiskPace(0.25), Peer(1), []
+        pace, peer, found = SlowDiskDetector(0.25), Peer(1), []
         for i, took in enumerate(own, 1):
             found.append(pace.lasted(5.0 * i, i, took, {1: peer}))
             if answers:
--- a/tests/fleet/test_judge.py
+++ b/tests/fleet/test_judge.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from otterquay.cores import lives
+from otterquay.cores import incarnations
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
-from otterquay.duties.errand import Request, Wanted
 from otterquay.duties.state import Duties
 from otterquay.duties.token import Token, duty_of
+from otterquay.duties.yard_orders import OrderBody, Request
 from otterquay.fleet import words
 from otterquay.lab.fleetsim.judge import SAFETY, Judge
 from otterquay.runtimes import rows as rw
@@ -19,7 +19,7 @@
 from otterquay.standins.yard_book import YardBook
 
 NORTH = duty_of("north")
-LIFE = 1 << lives.BITS
+LIFE = 1 << incarnations.RANDOM_BITS
 
 
 def judge() -> Judge:
@@ -37,7 +37,9 @@
 
 def order(yard: YardBook, token: Token, agent: int, key: str, count: int = 1) -> None:
     yard.answer(
-        2.0, agent, Request("POST", "/sites/north/orders", token, key, body=msgspec.json.encode(Wanted("x", count)))
+        2.0,
+        agent,
+        Request("POST", "/sites/north/orders", token, key, body=msgspec.json.encode(OrderBody("x", count))),
     )
 
 
@@ -124,7 +126,7 @@
         ),
     )
     fine = judge()
-    books.whole.sites["north"].granted = 1
+    books.group_state.sites["north"].granted = 1
     fine.end(yard, books)
     assert raised(fine) == set()
     order(yard, Token(2), 0, "plain")
@@ -132,14 +134,14 @@
     lost.end(yard, books)
     assert raised(lost) == {"orders_lost"}
     twice = judge()
-    books.whole.orders.clear()
+    books.group_state.orders.clear()
     books.closed = {"act": None, "plain": None}
-    books.whole.running["north"] = {"x": 3}
+    books.group_state.running["north"] = {"x": 3}
     twice.end(yard, books)
     assert raised(twice) == {"acts_twice"}
     again = judge()
     yard.site("north").orders["plain"] = msgspec.structs.replace(yard.site("north").orders["plain"], started=4)
-    books.whole.running["north"] = {"x": 5}
+    books.group_state.running["north"] = {"x": 5}
     again.end(yard, books)
     assert "orders_repeated" in raised(again)
     assert len(SAFETY) == 12 and words.decode(words.encode(dm.AskTable())) == dm.AskTable()
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -34,7 +34,7 @@
         sim.yard.fencing = fencing
         leader = sim.leader()
         assert leader is not None
-        owner = leader.duties.whole.duties["capacity/north"].owner
+        owner = leader.duties.group_state.duties["capacity/north"].owner
         assert owner is not None
         sim.yard.end("north", "x", 2)
         node = sim.hosts[owner].node
@@ -65,7 +65,7 @@
     sim = running(seed)
     leader = sim.leader()
     assert leader is not None
-    owner = leader.duties.whole.duties["capacity/north"].owner
+    owner = leader.duties.group_state.duties["capacity/north"].owner
     if owner is None or owner == leader.plan.me:
         return 0
     sim.links.cut([(a, b) for a in sim.hosts for b in sim.hosts if a != b and owner in (a, b)])
@@ -84,15 +84,19 @@
     sim = running(4)
     leader = sim.leader()
     assert leader is not None
-    duty = leader.duties.whole.duties["capacity/north"]
+    duty = leader.duties.group_state.duties["capacity/north"]
     owner, token, at = duty.owner, duty.token, sim.now
     assert owner is not None
     host = sim.hosts[owner]
     assert host.node is not None
     sim._step(host, host.node.leave(sim.now))
-    assert sim.run(sim.now + 10.0, lambda: leader.duties.whole.duties["capacity/north"].token > token)
+    assert sim.run(sim.now + 10.0, lambda: leader.duties.group_state.duties["capacity/north"].token > token)
     assert sim.now - at < PLAN.terms.owner / 2, "long before its lease would have run out"
-    assert host.node.left() and not host.node.held and leader.duties.whole.duties["capacity/north"].owner != owner
+    assert (
+        host.node.left()
+        and not host.node.held
+        and leader.duties.group_state.duties["capacity/north"].owner != owner
+    )
 
 
 def test_words_from_where_they_must_not_come_change_nothing() -> None:
@@ -121,7 +125,11 @@
         (node, 4, sm.Lead(Token(2**61, 1), 1, 0, {})),
         (node, 1, sm.Followed(Token(9), 1, True, Token(9), 1)),
         (node, 5, dm.Done(2**50, 1, cm.Result(True, token=Token(99)))),
-        (node, 1, dm.Beat(node.life, {}, dm.SiteBeat(Token(99), 99, Token(99), [], [], 0, 0), {1: 0.0}, 0, 0)),
+        (
+            node,
+            1,
+            dm.Beat(node.incarnation, {}, dm.SiteBeat(Token(99), 99, Token(99), [], [], 0, 0), {1: 0.0}, 0, 0),
+        ),
     ]
     for to, sender, message in cases:
         out = to.receive(sim.now, sender, message)
@@ -161,7 +169,7 @@
     assert sim.run(60.0, sim.rests)
     leader = sim.leader()
     assert leader is not None
-    gray = leader.duties.whole.duties["capacity/south"].owner
+    gray = leader.duties.group_state.duties["capacity/south"].owner
     assert gray is not None
     sim.links.cut([(gray, YARD), (YARD, gray)])
     for _ in range(20):  # servers end all the time, at both sites
@@ -170,5 +178,5 @@
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("south").alive == {"a": 2, "b": 4, "c": 2})
     relieved = [fields["agent"] for _, _, event, fields in sim.lines if event == "owner_relieved"]
     assert relieved == [gray] and not any(sim.judge.counts.values())
-    posts = sim.leader().duties.whole.spread.posts.values()  # type: ignore[union-attr]
+    posts = sim.leader().duties.group_state.spread.posts.values()  # type: ignore[union-attr]
     assert all(post.owner not in (None, gray) for post in posts), "nor does it hold a post"
--- a/tests/fleet/test_posts.py
+++ b/tests/fleet/test_posts.py
@@ -5,22 +5,22 @@
 import msgspec
 import pytest
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
-from otterquay.duties.errand import Answer, Listed, Ordered
-from otterquay.duties.lease import Terms
-from otterquay.duties.spread.book import Assign, Looked, Placed, Posts, Report
-from otterquay.duties.spread.chief import SETTLED_S, STEP_S, Chief
-from otterquay.duties.spread.holder import SENT_MOST, Holder
-from otterquay.duties.spread.looking import Looking
-from otterquay.duties.spread.names import POSTS_MOST
-from otterquay.duties.spread.progress import STUCK, Progress
+from otterquay.duties.lease import LeaseTerms
+from otterquay.duties.posts.assigner import PLACEMENT_INTERVAL_S, SETTLED_S, PostAssigner
+from otterquay.duties.posts.holder import MAX_SENT_STATUSES, Holder
+from otterquay.duties.posts.names import MAX_POSTS
+from otterquay.duties.posts.observer import SiteObserver
+from otterquay.duties.posts.progress import STUCK, Progress
+from otterquay.duties.posts.records import Assign, Looked, Placed, Posts, Report
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
+from otterquay.duties.yard_orders import Answer, SiteListing, YardOrder
 from otterquay.fleet import words
 
-TERMS = Terms(4.0, 0.02)
+TERMS = LeaseTerms(4.0, 0.02)
 A, B = "look/north/a", "look/north/b"
 C = "look/south/a"
 
@@ -31,11 +31,11 @@
     def __init__(self, agents: int, wanted: list[str], owes: float = 6.0) -> None:
         self.now, self.wanted, self.tokens = 100.0, wanted, 0
         self.posts = Posts()
-        self.chief = Chief(TERMS, 2.0, self.now, Progress(owes))
+        self.assigner = PostAssigner(TERMS, 2.0, self.now, Progress(owes))
         self.holders = {a: Holder(TERMS) for a in range(agents)}
         self.silent: set[int] = set()
         self.lazy: set[int] = set()
-        self.lives = dict.fromkeys(range(agents), 1 << 20)
+        self.incarnations = dict.fromkeys(range(agents), 1 << 20)
         self.versions = dict.fromkeys(wanted, 1)
 
     def token(self) -> Token:
@@ -44,7 +44,7 @@
 
     def speak(self, agent: int) -> None:
         holder = self.holders[agent]
-        told = self.chief.status(self.now, agent, self.lives[agent], *holder.status(self.now), self.posts)
+        told = self.assigner.status(self.now, agent, self.incarnations[agent], *holder.status(self.now), self.posts)
         if told is not None:
             holder.answered(self.now, holder.number, told)
 
@@ -55,16 +55,16 @@
             for agent in self.holders:
                 if agent not in self.silent:
                     self.speak(agent)
-            moves = self.chief.step(self.now, self.wanted, self.posts)
+            moves = self.assigner.step(self.now, self.wanted, self.posts)
             self.posts.assign(moves, self.token)
-            self.chief.settled()
+            self.assigner.settled()
             moved += moves
             if tells:
                 for agent, holder in self.holders.items():
                     if agent not in self.silent | self.lazy:
-                        self.posts.looked(
+                        self.posts.record_reports(
                             agent,
-                            self.lives[agent],
+                            self.incarnations[agent],
                             [Report(p, t, self.versions[p], 1, 0, 1) for p, t in holder.held(self.now).items()],
                         )
         return moved
@@ -99,7 +99,7 @@
     gone = fleet.held()[A]
     fleet.run(2.0)
     fleet.silent.add(gone)
-    fleet.chief = Chief(TERMS, 2.0, fleet.now, Progress(6.0))
+    fleet.assigner = PostAssigner(TERMS, 2.0, fleet.now, Progress(6.0))
     assert not fleet.run(4.0)
     assert [m.post for m in fleet.run(1.0)] == [A]
 
@@ -108,7 +108,7 @@
     fleet = Fleet(2, [A, B, C])
     fleet.run(4.0)
     rich = max((0, 1), key=lambda a: len(fleet.holders[a].held(fleet.now)))
-    fleet.holders[2], fleet.lives[2] = Holder(TERMS), 1 << 20
+    fleet.holders[2], fleet.incarnations[2] = Holder(TERMS), 1 << 20
     fleet.silent.add(rich)  # it hears nothing: what it may still hold is not given away
     fleet.run(SETTLED_S + 0.5)
     before = set(fleet.holders[rich].held(fleet.now))
@@ -121,7 +121,7 @@
 def test_a_later_life_does_not_wait_for_the_earlier_ones_lease() -> None:
     fleet = Fleet(2, [A, B])
     fleet.run(4.0)
-    fleet.holders[1], fleet.lives[1] = Holder(TERMS), 2 << 20
+    fleet.holders[1], fleet.incarnations[1] = Holder(TERMS), 2 << 20
     fleet.run(SETTLED_S + 1.0)
     assert len(fleet.holders[1].held(fleet.now)) == 1 and len(fleet.held()) == 2
 
@@ -130,9 +130,9 @@
     fleet = Fleet(1, [A])
     fleet.run(4.0)
     number = fleet.holders[0].number
-    assert fleet.chief.status(fleet.now, 0, 1 << 20, number, 0, [], fleet.posts) is None
-    assert fleet.chief.status(fleet.now, 0, 1 << 19, number + 5, 0, [], fleet.posts) is None
-    assert fleet.chief.heard[0].number == number
+    assert fleet.assigner.status(fleet.now, 0, 1 << 20, number, 0, [], fleet.posts) is None
+    assert fleet.assigner.status(fleet.now, 0, 1 << 19, number + 5, 0, [], fleet.posts) is None
+    assert fleet.assigner.heard[0].number == number
 
 
 def test_one_that_ends_frees_its_posts_at_once_and_its_late_words_do_not_take_that_back() -> None:
@@ -141,9 +141,9 @@
     late = fleet.holders[0].number
     fleet.silent.add(0)
     fleet.holders[0].drop()
-    fleet.chief.gone(0)
-    assert fleet.chief.status(fleet.now, 0, 1 << 20, late, late - 1, [], fleet.posts) is None
-    assert [m.agent for m in fleet.run(STEP_S)] == [1]
+    fleet.assigner.gone(0)
+    assert fleet.assigner.status(fleet.now, 0, 1 << 20, late, late - 1, [], fleet.posts) is None
+    assert [m.agent for m in fleet.run(PLACEMENT_INTERVAL_S)] == [1]
 
 
 def test_a_holder_counts_from_when_it_asked_and_takes_newer_answers_alone() -> None:
@@ -156,7 +156,7 @@
     holder.answered(12.1, 99, [(B, Token(9))])
     assert holder.held(12.2) == {A: Token(5)} and holder.until == pytest.approx(10.5 + 4.0 * 0.98)
     assert holder.held(14.43) == {}
-    for _ in range(SENT_MOST + 1):
+    for _ in range(MAX_SENT_STATUSES + 1):
         holder.status(20.0)
     holder.answered(20.0, second + 1, [(A, Token(6))])
     assert holder.held(20.0) == {}, "an answer to a status of long ago"
@@ -168,8 +168,8 @@
     lazy = fleet.held()[A]
     fleet.lazy.add(lazy)
     taken = fleet.run(15.0)
-    assert fleet.chief.relieved >= 1 and not fleet.holders[lazy].held(fleet.now)
-    assert fleet.chief.weights(fleet.now)[lazy] < 1.0 and len(taken) <= 3
+    assert fleet.assigner.relieved >= 1 and not fleet.holders[lazy].held(fleet.now)
+    assert fleet.assigner.weights(fleet.now)[lazy] < 1.0 and len(taken) <= 3
 
 
 def test_one_that_died_is_not_held_to_have_brought_nothing() -> None:
@@ -184,13 +184,13 @@
     fleet.silent.clear()
     fleet.lazy.clear()
     fleet.run(SETTLED_S + 1.0)
-    assert fleet.chief.relieved == 0 and len(fleet.holders[gone].held(fleet.now)) == 1
+    assert fleet.assigner.relieved == 0 and len(fleet.holders[gone].held(fleet.now)) == 1
 
 
 def test_where_most_are_behind_it_is_the_yard_and_nobody_is_relieved() -> None:
     fleet = Fleet(6, [A, B, C, "look/south/b", "look/east/a", "look/east/b"])
     fleet.run(5.0)
-    assert not fleet.run(30.0, tells=False) and fleet.chief.relieved == 0
+    assert not fleet.run(30.0, tells=False) and fleet.assigner.relieved == 0
 
 
 def test_where_all_of_one_site_are_behind_it_is_the_site() -> None:
@@ -201,14 +201,14 @@
         fleet.now += 0.25
         for agent in fleet.holders:
             fleet.speak(agent)
-        assert not fleet.chief.step(fleet.now, posts, fleet.posts)
+        assert not fleet.assigner.step(fleet.now, posts, fleet.posts)
         for agent, holder in fleet.holders.items():
-            fleet.posts.looked(
+            fleet.posts.record_reports(
                 agent,
                 1 << 20,
                 [Report(p, t, 1, 1, 0, 1) for p, t in holder.held(fleet.now).items() if "north" not in p],
             )
-    assert fleet.chief.relieved == 0
+    assert fleet.assigner.relieved == 0
 
 
 def test_one_whose_reports_lag_behind_those_of_the_same_site_is_relieved() -> None:
@@ -219,7 +219,7 @@
     for post in posts:
         fleet.versions[post] = 1 if post == A else 7
     fleet.run(9.0)
-    assert fleet.chief.relieved == 1 and fleet.posts.posts[A].owner != slow
+    assert fleet.assigner.relieved == 1 and fleet.posts.posts[A].owner != slow
 
 
 def shortage(
@@ -235,7 +235,7 @@
     state, progress = Posts(), Progress(6.0)
     state.assign([Placed(f"look/{s}/a", 1, 1) for s in names], lambda: Token(1))
     for post in state.posts.values():
-        post.told, post.alive, post.coming = told, alive, coming
+        post.report_count, post.alive, post.coming = told, alive, coming
     found: list[tuple[str, str]] = []
     for i in range(round(seconds)):
         for post in state.posts.values():
@@ -259,13 +259,15 @@
     posts = Posts()
     posts.assign([Placed(A, 4, 9)], lambda: Token(7))
     report = Report(A, Token(7), 3, 2, 1, 5)
-    assert posts.looked(4, 9, [report, Report(A, Token(6), 9, 9, 9, 9), Report(B, Token(7), 1, 1, 1, 1)]) == 2
-    assert posts.looked(4, 8, [report]) == 1 == posts.looked(5, 9, [report])
+    assert (
+        posts.record_reports(4, 9, [report, Report(A, Token(6), 9, 9, 9, 9), Report(B, Token(7), 1, 1, 1, 1)]) == 2
+    )
+    assert posts.record_reports(4, 8, [report]) == 1 == posts.record_reports(5, 9, [report])
     found = posts.posts[A]
-    assert (found.told, found.version, found.alive, found.coming, found.brought) == (1, 3, 2, 1, 5)
+    assert (found.report_count, found.version, found.alive, found.coming, found.brought) == (1, 3, 2, 1, 5)
     assert posts.versions == {"north": 3}
-    posts.looked(4, 9, [Report(A, Token(7), 2, 8, 8, 8)])
-    assert (found.told, found.alive) == (2, 2), "an older list of the yard's is no news"
+    posts.record_reports(4, 9, [Report(A, Token(7), 2, 8, 8, 8)])
+    assert (found.report_count, found.alive) == (2, 2), "an older list of the yard's is no news"
     posts.assign([Placed(A, None)], lambda: Token(8))
     assert found.owner is None and found.token == Token(7)
 
@@ -277,9 +279,9 @@
         [Placed("capacity/north", 1, 1), Placed("look/north", 1, 1), Placed(A, 1, 1)], lambda: Token(next(drawn))
     )
     assert given == [(A, Token(1))]
-    for i in range(POSTS_MOST + 5):
+    for i in range(MAX_POSTS + 5):
         posts.assign([Placed(f"look/n/{i}", 1, 1)], lambda: Token(next(drawn)))
-    assert len(posts.posts) == POSTS_MOST
+    assert len(posts.posts) == MAX_POSTS
 
 
 def test_the_groups_state_gives_posts_and_duties_tokens_of_one_row_and_keeps_them_over_a_snapshot() -> None:
@@ -292,12 +294,12 @@
     assert duties.apply(3, cm.encode(tell)) == cm.Result(False, "1 of 2 refused")
     other = Duties(["north"], 10)
     other.load(duties.dump())
-    assert other.digest() == duties.digest() and other.whole.spread.posts[B].version == 5
+    assert other.digest() == duties.digest() and other.group_state.spread.posts[B].version == 5
 
 
 def test_one_agent_can_hold_all_posts_there_may_be() -> None:
     """With 512 as the bound, an agent left alone with more was refused by its leader, and held nothing."""
-    many = list(range(1, POSTS_MOST + 1))
+    many = list(range(1, MAX_POSTS + 1))
     status = dm.Status(1, "north", [], 0, False, 1, 0, many)
     assert words.decode(words.encode(status)) == status
     site = dm.SiteBeat(NONE, 0, NONE, [], [], 0, 0)
@@ -311,28 +313,28 @@
     def __init__(self) -> None:
         self.asked: list[object] = []
         self.told: list[list[Report]] = []
-        self.work = Looking(1.0, 3.0, self._ask, self._propose)
+        self.work = SiteObserver(1.0, 3.0, self._ask, self._propose)
         self.result = cm.Result(True)
 
-    def _ask(self, request: object, told: object, out: Out) -> None:
+    def _ask(self, request: object, told: object, out: Effects) -> None:
         self.asked.append(told)
 
-    def _propose(self, now: float, command: object, told: object, out: Out) -> bool:
+    def _propose(self, now: float, command: object, told: object, out: Effects) -> bool:
         assert isinstance(command, Looked) and callable(told)
         self.told.append(command.reports)
         told(now, self.result, out)
         return True
 
     def answer(self, now: float, version: object, alive: int) -> None:
-        listed = Listed(
-            [Ordered("o1", "a", 4, 1, "1.0"), Ordered("o2", "a", 4, 1, "1.0", True)], {"a": alive}, {}, "1.0"
+        listed = SiteListing(
+            [YardOrder("o1", "a", 4, 1, "1.0"), YardOrder("o2", "a", 4, 1, "1.0", True)], {"a": alive}, {}, "1.0"
         )
         told = self.asked.pop()
         assert callable(told)
-        told(now, Answer(200, f'"{version}"', msgspec.json.encode(listed)), Out())
+        told(now, Answer(200, f'"{version}"', msgspec.json.encode(listed)), Effects())
 
     def step(self, now: float, held: dict[str, Token], idle: bool = True) -> None:
-        self.work.step(now, held, idle, Out())
+        self.work.step(now, held, idle, Effects())
 
 
 def test_a_holder_looks_once_a_site_and_tells_what_is_new() -> None:
@@ -386,13 +388,15 @@
     for _ in range(30):
         fleet.now += 0.25
         fleet.speak(1 - old)
-        if moves := fleet.chief.step(fleet.now, [A, B], fleet.posts):
+        if moves := fleet.assigner.step(fleet.now, [A, B], fleet.posts):
             break
     assert A in [m.post for m in moves]
     fleet.speak(old)
     assert A not in fleet.holders[old].held(fleet.now)
-    assert not fleet.chief.step(fleet.now + STEP_S, [A, B], fleet.posts), "one assignment at a time"
-    fleet.chief.settled()
+    assert not fleet.assigner.step(fleet.now + PLACEMENT_INTERVAL_S, [A, B], fleet.posts), (
+        "one assignment at a time"
+    )
+    fleet.assigner.settled()
     fleet.now += 1.0
     fleet.speak(old)
     assert A in fleet.holders[old].held(fleet.now), "it was not taken into the log: nothing has changed hands"
--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
-from otterquay.duties.errand import Answer
 from otterquay.duties.state import OrderState
 from otterquay.duties.token import Token, duty_of
+from otterquay.duties.yard_orders import Answer
 from otterquay.fleet.sitework import SiteWork
 from otterquay.lab.fleetsim.reads import Reads
 
@@ -52,22 +52,22 @@
     """On slow links an answer came after the order it knows nothing of was done: the same was ordered again."""
     ordered: list[cm.Command] = []
 
-    def propose(now: float, command: cm.Command, told: object, out: Out) -> bool:
+    def propose(now: float, command: cm.Command, told: object, out: Effects) -> bool:
         ordered.append(command)
         assert callable(told)
         told(now, cm.Result(True), out)
         return True
 
     work = SiteWork("north", TOKEN, lambda now, alive: {"x": 6}, 1.0, lambda *_: None, propose, "run", reads=1)
-    work.booked(books(1, {}), 0.0, Out())
-    work._order(0.1, Out())
+    work.booked(books(1, {}), 0.0, Effects())
+    work._order(0.1, Effects())
     assert len(ordered) == 1 and work.books is None
-    errand = next(iter(work.errands.values()))
-    errand.final, errand.started = True, 2
-    work._ordered(0.5, errand, Answer(0), Out())
-    assert not work.errands, "done and settled"
+    pending_order = next(iter(work.pending_orders.values()))
+    pending_order.final, pending_order.started = True, 2
+    work._ordered(0.5, pending_order, Answer(0), Effects())
+    assert not work.pending_orders, "done and settled"
     work.reads = 2
-    work.booked(books(1, {}), 3.0, Out())
+    work.booked(books(1, {}), 3.0, Effects())
     assert work.books is None, "of before"
-    work.booked(books(2, {}), 3.1, Out())
+    work.booked(books(2, {}), 3.1, Effects())
     assert work.books is not None
--- a/tests/fleet/test_retiring.py
+++ b/tests/fleet/test_retiring.py
@@ -61,7 +61,7 @@
     duties = leader.duties
     sim.judge.end(sim.yard, duties)
     assert not any(sim.judge.counts.values()), sim.judge.notes
-    assert duties.alive("north", "x") == 2 and not duties.whole.orders
+    assert duties.alive("north", "x") == 2 and not duties.group_state.orders
 
 
 def test_no_more_goes_than_was_too_many_all_the_while() -> None:
@@ -84,7 +84,7 @@
     sim = fallen(least=6)
     leader = sim.leader()
     assert leader is not None
-    owner = leader.duties.whole.duties["capacity/north"].owner
+    owner = leader.duties.group_state.duties["capacity/north"].owner
     away = next(a for a in (1, 2) if a != owner)
     heal = sim.links.cut([(away, a) for a in sim.hosts if a != away])
     sim.run(sim.now + FRESH_S + 1.0)
@@ -101,7 +101,7 @@
     sim = fallen()
     leader = sim.leader()
     assert leader is not None
-    owner = leader.duties.whole.duties["capacity/north"].owner
+    owner = leader.duties.group_state.duties["capacity/north"].owner
     assert owner is not None
     heal = sim.links.cut([(YARD, owner)])  # the yard's answers get lost
 
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -40,24 +40,24 @@
     epoch: int = 0,
     ms: float = 50.0,
     kind: str = "a",
-    life: int = 1,
+    incarnation: int = 1,
     count: int = 20,
     cls: str = "read",
     late: bool = False,
 ) -> rw.Rows:
     rows = rw.Rows()
     for i in range(count):
-        rows.note(rw.Key(agent, life, epoch, cls, kind, 7, 1), ms * (0.9 + 0.01 * (i % 20)), True, late)
+        rows.note(rw.Key(agent, incarnation, epoch, cls, kind, 7, 1), ms * (0.9 + 0.01 * (i % 20)), True, late)
     return rows
 
 
 def test_rows_give_one_state_whatever_their_order_and_however_often() -> None:
     told = []
     for agent in range(5):
-        for life in (1, 2):
-            rows = noted(agent, life=life, count=5)
+        for incarnation in (1, 2):
+            rows = noted(agent, incarnation=incarnation, count=5)
             early = rw.encode(rows.of(agent))
-            rows.note(rw.Key(agent, life, 0, "read", "a", 7, 1), 70.0, True, False)
+            rows.note(rw.Key(agent, incarnation, 0, "read", "a", 7, 1), 70.0, True, False)
             told += [(agent, early), (agent, rw.encode(rows.of(agent)))]
     states = []
     for seed in range(6):
@@ -76,12 +76,12 @@
 
 def test_without_the_life_in_its_key_a_restart_would_lose_or_repeat() -> None:
     held = rw.Rows()
-    for life, count in ((1, 30), (2, 4)):
-        held.merge(noted(1, life=life, count=count).of(1), 1)
+    for incarnation, count in ((1, 30), (2, 4)):
+        held.merge(noted(1, incarnation=incarnation, count=count).of(1), 1)
     assert sum(sum(r.exact.values()) for r in held.rows.values()) == 34
     merged = rw.Rows()
     for count in (30, 4):  # the same key for both lives: the later, shorter one is taken for old news
-        merged.merge(noted(1, life=0, count=count).of(1), 1)
+        merged.merge(noted(1, incarnation=0, count=count).of(1), 1)
     assert sum(sum(r.exact.values()) for r in merged.rows.values()) == 30
 
 
@@ -208,15 +208,15 @@
     sim.run(12.0)
     leader = sim.leader()
     assert leader is not None
-    version, owner = leader.duties.whole.table_version, leader.duties.whole.duties[CAPACITY].owner
+    version, owner = leader.duties.group_state.table_version, leader.duties.group_state.duties[CAPACITY].owner
     assert version > 0 and owner is not None
     sim.run(30.0)
-    assert leader.duties.whole.table_version == version, "nothing was noted since"
+    assert leader.duties.group_state.table_version == version, "nothing was noted since"
     sim.kill(owner)
     sim.run(50.0)
     again = sim.leader()
     assert again is not None
-    successor = again.duties.whole.duties[CAPACITY].owner
+    successor = again.duties.group_state.duties[CAPACITY].owner
     assert successor not in (None, owner)
     node = sim.hosts[successor].node  # type: ignore[index]
     assert node is not None
--- a/tests/fleet/test_settlement.py
+++ b/tests/fleet/test_settlement.py
@@ -44,7 +44,7 @@
     sim = Sim(PLAN, 3)
     cut_and_lost(sim)
     assert not any(sim.judge.counts.values()), sim.judge.notes
-    books = sim.leader().duties.whole  # type: ignore[union-attr]
+    books = sim.leader().duties.group_state  # type: ignore[union-attr]
     assert books.acts >= 1 and books.sites["north"].spent >= 3 and books.sites["north"].floor.group > 3
     assert YARD not in sim.hosts
 
--- a/tests/fleet/test_sites.py
+++ b/tests/fleet/test_sites.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.duties.commands import Act
 from otterquay.duties.token import Token
 from otterquay.sites import messages as ms
@@ -34,13 +34,13 @@
                 Times(),
                 2,
                 (1 << 20) + me,
-                Out(),
+                Effects(),
             )
 
-    def carry(self, sender: int, out: Out) -> None:
+    def carry(self, sender: int, out: Effects) -> None:
         for one in out.sends:
             if (sender, one.to) not in self.cut and one.to not in self.down and sender not in self.down:
-                back = Out()
+                back = Effects()
                 self.sites[one.to].receive(self.now, sender, one.message, back)
                 self.carry(one.to, back)
 
@@ -51,7 +51,7 @@
             for me, site in self.sites.items():
                 if me in self.down:
                     continue
-                out = Out()
+                out = Effects()
                 if me in heard:
                     site.upstream(self.now, Token(group), 5, 0, Token(group), [], out)
                 site.tick(self.now, out)
@@ -82,7 +82,7 @@
     (one,) = site.coordinators()
     others = [n for n in site.sites if n != one]
     site.cut = {(n, one) for n in others}
-    out = Out()
+    out = Effects()
     assert site.sites[one].order(site.now, "x", 3, out)
     site.carry(one, out)
     assert site.sites[one].ready == [], "nobody has confirmed it"
@@ -90,14 +90,14 @@
     site.run(0.4)
     assert [act.count for _, _, act in site.sites[one].ready] == [3]
     assert all(site.sites[n].kept.spent == 3 for n in site.sites)
-    assert not site.sites[one].order(site.now, "x", 3, Out()), "two are left of five"
+    assert not site.sites[one].order(site.now, "x", 3, Effects()), "two are left of five"
 
 
 def test_a_successor_knows_what_its_predecessor_spent_and_lowered() -> None:
     site = Cluster()
     site.run(12.0)
     (one,) = site.coordinators()
-    out = Out()
+    out = Effects()
     site.sites[one].order(site.now, "x", 4, out)
     site.sites[one].lower(site.now, 7, 0.1, out)
     site.carry(one, out)
@@ -108,8 +108,8 @@
     after = site.sites[two]
     assert two != one and after.token > site.sites[one].token
     assert after.kept.spent == 4 and after.kept.caps == {7: 0.1}
-    assert not after.order(site.now, "x", 2, Out()) and after.order(site.now, "x", 1, Out())
-    assert not after.lower(site.now, 7, 0.5, Out()), "a cap never rises here"
+    assert not after.order(site.now, "x", 2, Effects()) and after.order(site.now, "x", 1, Effects())
+    assert not after.lower(site.now, 7, 0.5, Effects()), "a cap never rises here"
 
 
 def test_one_that_wakes_late_is_refused_by_the_agents() -> None:
@@ -120,7 +120,7 @@
     site.run(12.0)
     assert site.coordinators() and site.coordinators() != [one]
     site.down.clear()
-    out = Out()
+    out = Effects()
     site.sites[one].order(site.now, "x", 2, out)
     site.carry(one, out)
     assert not site.sites[one].acting and site.sites[one].ready == []
@@ -146,38 +146,38 @@
     site.run(12.0)
     (one,) = site.coordinators()
     core = site.sites[one]
-    core.ballot(0, ms.Ballot(3, True), Out())
+    core.ballot(0, ms.Ballot(3, True), Effects())
     assert core.given_up() == []
-    core.ballot(1, ms.Ballot(3, True), Out())
+    core.ballot(1, ms.Ballot(3, True), Effects())
     assert core.given_up() == [3]
-    core.ballot(1, ms.Ballot(3, False), Out())
+    core.ballot(1, ms.Ballot(3, False), Effects())
     assert core.given_up() == []
 
 
 def test_an_empty_or_older_disk_has_no_vote_before_a_settlement() -> None:
-    out = Out()
+    out = Effects()
     fresh = Site.load(0, (0, 1, 2), random.Random(1), None, Journal(), 0.0, Times(), 1, 1 << 20, out)
     assert fresh.kept.barred == UNKNOWN and out.writes, "also after another start"
-    answers = Out()
+    answers = Effects()
     fresh.receive(50.0, 1, ms.Ask(Token(9, 1), False), answers)
     assert [s.message.granted for s in answers.sends] == [False]
-    fresh.upstream(50.0, Token(6), 0, 0, Token(5), [], Out())
+    fresh.upstream(50.0, Token(6), 0, 0, Token(5), [], Effects())
     assert fresh.kept.barred == UNKNOWN
-    fresh.joined(True, Token(6), Out())
+    fresh.joined(True, Token(6), Effects())
     assert fresh.kept.barred == 6
-    fresh.upstream(51.0, Token(7), 0, 0, Token(7), [], Out())
+    fresh.upstream(51.0, Token(7), 0, 0, Token(7), [], Effects())
     assert fresh.kept.barred == -1
     older = Cluster()
-    older.sites[1].receive(0.0, 0, ms.Word(0.0, 5 << 20), Out())
-    back = Out()
+    older.sites[1].receive(0.0, 0, ms.Word(0.0, 5 << 20), Effects())
+    back = Effects()
     older.sites[1].receive(0.1, 0, ms.Answer(Token(4, 1), False, True, Token(4, 1), 0, 0, {}, 3 << 20), back)
     assert [s.message for s in back.sends] == [ms.Older(5 << 20)]
-    older.sites[0].receive(0.2, 1, ms.Older(5 << 20), Out())
+    older.sites[0].receive(0.2, 1, ms.Older(5 << 20), Effects())
     assert older.sites[0].kept.barred == UNKNOWN
 
 
 def test_only_acts_that_may_have_happened_are_handed_over_in_pieces_that_fit() -> None:
-    journal, out, token = Journal(), Out(), Token(4, 1)
+    journal, out, token = Journal(), Effects(), Token(4, 1)
     journal.begin(token, out)
     assert journal.pieces(token) == [[]], "an empty journal closes its term too"
     entry = journal.add(token, Act("a", "order", "x", 1), out)
--- a/tests/fleet/test_small_worlds.py
+++ b/tests/fleet/test_small_worlds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from otterquay.cores import lives
+from otterquay.cores import incarnations
 from otterquay.duties import commands as cm
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
@@ -36,7 +36,7 @@
         for sequence in product(alphabet, repeat=length):
             books, held, newest, written = Duties(["north"], 3), {1: NONE, 2: NONE}, NONE, 0
             for index, (agent, word) in enumerate(sequence, 1):
-                duty = books.whole.duties[NORTH]
+                duty = books.group_state.duties[NORTH]
                 token = held.get(agent, duty.token)
                 command: cm.Command = {
                     "claim": cm.Claim(NORTH),
@@ -46,13 +46,15 @@
                     "expire": cm.Expire(NORTH, duty.token, duty.renewals),
                 }[word]
                 before = (duty.owner, duty.token)
-                result = books.apply(index, cm.encode(cm.Proposal(agent, 1 << lives.BITS, index, command)))
+                result = books.apply(
+                    index, cm.encode(cm.Proposal(agent, 1 << incarnations.RANDOM_BITS, index, command))
+                )
                 if word == "claim" and result.ok:
                     assert before[0] is None and result.token > newest
                     held[agent] = newest = result.token
                 elif word in ("renew", "order", "release") and result.ok:
                     assert before == (agent, token) and token == newest
                     written += word == "order"
-                assert books.whole.duties[NORTH].token == newest and books.taken() == written <= 3
+                assert books.group_state.duties[NORTH].token == newest and books.committed_servers() == written <= 3
             states.add(books.dump())
     assert len(states) > 500 and Token(2) > Token(1, 9)
