--- a/otterquay/cores/__init__.py
+++ b/otterquay/cores/__init__.py
@@ -1,1 +1,1 @@
-"""What the cores of the fleet's own work share: their way of asking a shell for something. No I/O, no clock."""
+"""Shared parts of the fleet's sans-I/O cores: the effects they request, incarnations and message bounds."""
--- a/otterquay/cores/bounds.py
+++ b/otterquay/cores/bounds.py
@@ -1,4 +1,4 @@
-"""Ranges of what may stand in a message: anything else is refused where it is decoded, and changes nothing."""
+"""Bounded field types for messages. A message with a value out of range is rejected at decoding, without effect."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from msgspec import Meta
 
-MOST = 2**62  # terms, tokens, numbers: far from where arithmetic or another language's integers end
-Number = Annotated[int, Meta(ge=0, lt=MOST)]
+NUMBER_LIMIT = 2**62  # leaves headroom below 64-bit integers for arithmetic and for other languages
+Number = Annotated[int, Meta(ge=0, lt=NUMBER_LIMIT)]
 Agent = Annotated[int, Meta(ge=0, lt=2**16)]
 Seconds = Annotated[float, Meta(ge=0.0, le=1e9)]
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
--- a/otterquay/cores/effects.py
+++ b/otterquay/cores/effects.py
@@ -1,7 +1,8 @@
-"""What a core asks of its shell. One `Out` is one step: its writes last before any of its messages or calls leave.
+"""Effects that a sans-I/O core requests from the shell that runs it.
 
-A shell carries steps out in the order in which they were made, one after the other: what a later step sends leaves
-after what an earlier one had to write. That order is the whole of what the cores assume of a disk.
+One `Effects` holds the result of one step. Its writes must be durable before any of its messages or calls leave.
+The shell executes steps in order, one at a time, so whatever a later step sends leaves after an earlier step's
+writes are durable. The cores assume nothing else about the disk.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Write:
-    """Set a key of a table, or remove it with `value` None."""
+    """Sets a key of a table, or removes it if `value` is None."""
 
     table: str
     key: bytes
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A message to an agent of the fleet; it may be lost, late, repeated or overtaken."""
+    """A message to an agent of the fleet; it may be lost, delayed, duplicated or reordered."""
 
     to: int
     message: Any
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A request to the yard; the answer, if any, comes back under `tag`."""
+    """A request to the yard; the answer, if any, is delivered with the same `tag`."""
 
     tag: int
     request: Any
@@ -38,32 +39,30 @@
 
 @dataclass(slots=True)
 class Effects:
-    """One step's wishes, in order within each kind."""
+    """The effects of one step, in order within each kind."""
 
     writes: list[Write] = field(default_factory=list)
     sends: list[Send] = field(default_factory=list)
     calls: list[Call] = field(default_factory=list)
     log_lines: list[tuple[str, dict[str, Any]]] = field(default_factory=list)
-    on_durable: list[Callable[[float], None]] = field(
-        default_factory=list
-    )  # run with the time once the writes last
+    on_durable: list[Callable[[float], None]] = field(default_factory=list)  # get the time once writes are durable
 
     def write(self, table: str, key: bytes, value: bytes | None) -> None:
-        """Keep a value, before anything of this step leaves."""
+        """Stores a value before any message or call of this step leaves; None removes the key."""
         self.writes.append(Write(table, key, value))
 
     def send(self, to: int, message: Any) -> None:
-        """Send a message."""
+        """Sends a message to an agent."""
         self.sends.append(Send(to, message))
 
     def call(self, tag: int, request: Any) -> None:
-        """Ask the yard."""
+        """Sends a request to the yard."""
         self.calls.append(Call(tag, request))
 
     def log(self, event: str, **fields: Any) -> None:
-        """A log line."""
+        """Emits a log event."""
         self.log_lines.append((event, fields))
 
     def is_empty(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether the step has no effects."""
         return not (self.writes or self.sends or self.calls or self.log_lines or self.on_durable)
--- a/otterquay/cores/incarnations.py
+++ b/otterquay/cores/incarnations.py
@@ -1,5 +1,9 @@
-"""Lives: which start of an agent speaks. A start's number comes from its disk and rises; a drawn part tells two
-starts apart that an older copy of a disk has given the same number."""
+"""Incarnation numbers: which start of an agent's process sent a message.
+
+The high bits are the start number, which is kept on the agent's disk and incremented at each start. The low bits
+are random: they distinguish two starts that have the same number because the disk was restored from an older
+copy.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +13,18 @@
 
 
 def new_incarnation(start: int, rng: random.Random) -> int:
-    """The life of a disk's start of that number."""
+    """Returns the incarnation for the disk's start number `start`, with fresh random low bits."""
     return start << RANDOM_BITS | rng.getrandbits(RANDOM_BITS)
 
 
 def start_number(incarnation: int) -> int:
-    """Which start of its disk a life is."""
+    """Returns the start number of an incarnation."""
     return incarnation >> RANDOM_BITS
 
 
 def is_later(incarnation: int, known: int) -> bool:
-    """Whether a life began after one that is known; one that is neither it nor later is of an older copy."""
+    """Whether `incarnation` started after `known`.
+
+    An incarnation that is neither `known` nor later comes from an older copy of the disk.
+    """
     return incarnation >> RANDOM_BITS > known >> RANDOM_BITS
--- a/otterquay/group/__init__.py
+++ b/otterquay/group/__init__.py
@@ -1,1 +1,1 @@
-"""The group: three or five agents that agree on one order of commands by Raft (Ongaro, Ousterhout 2014). No I/O."""
+"""Raft group: three or five agents that agree on one command order (Ongaro, Ousterhout 2014). No I/O."""
--- a/otterquay/group/joining.py
+++ b/otterquay/group/joining.py
@@ -1,16 +1,16 @@
-"""Whether a member that has started may take part: an empty disk, or an old one, has forgotten what it promised.
-
-Each member keeps of each other one which disk it has and the newest of its starts. A start counts once enough
-have written it down for a majority with the member itself, and it is told to the rest until all have. The
-first start of a disk counts once *all* have it, so that no vote is cast before every other member knows the
-voter's disk: from then on a new disk under the member's number is refused by each of them.
-
-An older copy of a disk is refused by each that wrote down a later start, or the same start under another
-nonce, or that has heard the member further on; one refusal is enough, also late. Assumed, and not noticed
-where it is false: a disk does not come back as an older copy while all that knew a later start are away, nor
-as a copy taken during the newest start where all that heard the member since have forgotten it. Asking for
-more welcomes than a majority has would notice more, and stop the group with one member down and another
-restarted.
+"""Admission of a started member: an empty or outdated disk has lost votes and entries that it had acknowledged.
+
+Each member stores, for each other member, the identity of its disk and its newest start. A start is admitted once
+enough members have stored it to form a majority with the started member itself; it keeps announcing the start until
+all have stored it. The first start of a disk is admitted only once *all* members have stored it, so no vote is cast
+before every other member knows the voter's disk. From then on each of them refuses a new disk under that number.
+
+A member refuses an older copy of a disk if it has stored a later start, or the same start with another nonce, or
+has heard from the started member with a later term or index. One refusal is enough, even a late one. Two cases
+are assumed not to occur and are not detected: a disk restored from an older copy while all members that know a
+later start are away; and one restored from a copy taken during the newest start, if all members that have heard
+from it since have forgotten that. Requiring more than a majority of welcomes would detect more, but would stop
+the group when one member is down and another restarts.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 
 KNOWN, IDENTITY = "raft-known", b"identity"
 META = "raft"
-AGAIN_S = 0.5
+HELLO_INTERVAL_S = 0.5
 
 
 class Identity(msgspec.Struct, array_like=True, frozen=True):
-    """Which disk this is, how many starts it has seen, and whether all members have met."""
+    """Identity of this member's disk, its number of starts, and whether all other members have stored the disk."""
 
     disk: int
     boot: int
-    founded: bool
+    known_to_all: bool
 
 
 class Known(msgspec.Struct, array_like=True, frozen=True):
-    """Another member's disk and the newest of its starts."""
+    """Another member's disk and its newest start."""
 
     disk: int
     boot: int
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Joining:
-    """One start of one member."""
+    """Admission state of one start of this member, and what it knows of the others' starts."""
 
     me: int
     members: Sequence[int]
@@ -54,8 +54,8 @@
     nonce: int
     known: dict[int, Known]
     welcomed: set[int] = field(default_factory=set)
-    refused: str = ""
-    reached: dict[int, tuple[int, int]] = field(default_factory=dict)  # furthest term and index heard of a member
+    refused: str = ""  # the reason, once another member has refused this start
+    reached: dict[int, tuple[int, int]] = field(default_factory=dict)  # highest (term, index) heard from a member
     asked_at: float = -1e9
 
     @classmethod
@@ -69,9 +69,9 @@
         nonce: int,
         out: Effects,
     ) -> Joining:
-        """A start with what the disk holds; `disk` names it where it is new."""
-        was = msgspec.msgpack.decode(kept, type=Identity) if kept is not None else Identity(disk, 0, False)
-        identity = Identity(was.disk, was.boot + 1, was.founded)
+        """Starts with the disk's stored identity `kept`, or with the new identity `disk` if there is none."""
+        previous = msgspec.msgpack.decode(kept, type=Identity) if kept is not None else Identity(disk, 0, False)
+        identity = Identity(previous.disk, previous.boot + 1, previous.known_to_all)
         out.write(META, IDENTITY, msgspec.msgpack.encode(identity))
         return cls(
             me, members, identity, nonce, {m: msgspec.msgpack.decode(k, type=Known) for m, k in known.items()}
@@ -79,15 +79,15 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this member takes part: votes, acknowledges, leads."""
+        """Whether this member may vote, acknowledge entries and lead."""
         if self.refused:
             return False
         others = len(self.members) - 1
-        return len(self.welcomed) >= (len(self.members) // 2 if self.identity.founded else others)
+        return len(self.welcomed) >= (len(self.members) // 2 if self.identity.known_to_all else others)
 
     def ask(self, now: float, term: int, last: int, out: Effects) -> None:
-        """Say hello to those that have not answered."""
-        if self.refused or now - self.asked_at < AGAIN_S:
+        """Sends Hello to the members that have not welcomed this start."""
+        if self.refused or now - self.asked_at < HELLO_INTERVAL_S:
             return
         self.asked_at = now
         for member in self.members:
@@ -95,7 +95,7 @@
                 out.send(member, Hello(self.identity.disk, self.identity.boot, self.nonce, term, last))
 
     def hello(self, sender: int, hello: Hello, out: Effects) -> None:
-        """Another member has started."""
+        """Handles the Hello of another member that has started."""
         reason = self._refusal_reason(sender, hello)
         if not reason:
             known = Known(hello.disk, hello.boot, hello.nonce)
@@ -111,7 +111,7 @@
         if known is None:
             return ""
         if hello.disk != known.disk:
-            return "another disk was here under this number, and may have voted"
+            return "another disk was used under this member number and may have voted"
         if hello.boot < known.boot or (hello.boot == known.boot and hello.nonce != known.nonce):
             return f"an older copy of the disk: start {hello.boot} after start {known.boot}"
         term, last = self.reached.get(sender, (0, 0))
@@ -120,7 +120,7 @@
         return ""
 
     def welcome(self, sender: int, welcome: Welcome, out: Effects) -> None:
-        """An answer to our hello."""
+        """Handles an answer to this member's Hello."""
         if welcome.nonce != self.nonce or sender not in self.members or self.refused:
             return
         if welcome.reason:
@@ -128,10 +128,10 @@
             out.log("member_sits_out", by=sender, reason=welcome.reason)
             return
         self.welcomed.add(sender)
-        if not self.identity.founded and self.ready:
+        if not self.identity.known_to_all and self.ready:
             self.identity = Identity(self.identity.disk, self.identity.boot, True)
             out.write(META, IDENTITY, msgspec.msgpack.encode(self.identity))
 
     def heard(self, sender: int, term: int, last: int) -> None:
-        """A member has voted in, or acknowledged up to, this."""
+        """Records that a member has voted in `term`, or acknowledged entries up to `last`."""
         self.reached[sender] = max(self.reached.get(sender, (0, 0)), (term, last))
--- a/otterquay/group/leadership.py
+++ b/otterquay/group/leadership.py
@@ -1,8 +1,8 @@
-"""A leader that gives its place away: before it ends, and when its disk is slower than another member's.
+"""Leadership transfer: before a leader shuts down, and when its disk is slower than another member's.
 
-Leadership transfer is section 3.10 of Ongaro's thesis: the leader names the member whose log is furthest and steps
-down, that one stands at once, and voters let it through although they have just heard a leader. Votes are given as
-ever, so nothing but time hangs on it; where the word is lost an ordinary election follows.
+As in section 3.10 of Ongaro's thesis, the leader picks the member with the most up-to-date log and steps down; that
+member starts an election at once, and voters accept it although they have heard from a leader recently. All other
+voting rules hold, so the transfer affects only timing; if its message is lost, a normal election follows.
 """
 
 from __future__ import annotations
@@ -12,61 +12,64 @@
 
 from otterquay.group.parts import Peer
 
-IN_A_ROW = 3  # samples in which the leader was slow
-QUICKER = 4.0  # times as quick another has to be: where all disks are slow alike, moving would help nobody
-SAMPLE_S = 2.0  # how long answers to a sample are waited for
+SLOW_SAMPLES = 3  # consecutive samples with a slow leader before a transfer
+MIN_SPEEDUP = 4.0  # another member must be this many times faster; if all disks are equally slow, a move is no help
+SAMPLE_TIMEOUT_S = 2.0  # how long to wait for the answers to a sample
 
 
 @dataclass(slots=True)
 class SlowDiskDetector:
-    """How long the leader's own writes take to last, against those of the others. Seconds.
+    """Compares how long the leader's own writes take with those of the other members. Times are seconds.
 
-    A step's messages leave once its writes last, so an answer counts from there: what a member needs for the same
-    entries, its way there and back included. One entry at a time is followed.
+    A step's messages leave once its writes are durable, so a member's answer is timed from then: it includes the
+    round trip and the member's own write of the same entries. One entry at a time is sampled.
     """
 
     slow: float
-    strikes: int = 0
-    index: int = 0  # of the entry that is followed
-    at: float = -1e9  # when it lasted here
+    slow_samples: int = 0
+    index: int = 0  # of the sampled entry
+    durable_at: float = -1e9  # when the sampled entry was durable on this disk
     took: float = 0.0
 
-    def lasted(self, now: float, index: int, took: float, peers: Mapping[int, Peer]) -> bool:
-        """An entry has come to last; True where the leadership should move for it."""
+    def entry_durable(self, now: float, index: int, took: float, peers: Mapping[int, Peer]) -> bool:
+        """Handles an entry that is durable on the leader's disk; True if leadership should be transferred."""
         answered = [peer for peer in peers.values() if peer.match >= self.index]
-        if self.index and now - self.at < SAMPLE_S and len(answered) < len(peers):
+        if self.index and now - self.durable_at < SAMPLE_TIMEOUT_S and len(answered) < len(peers):
             return False
-        move = bool(self.index) and self._judge([peer.took for peer in answered])
-        self.index, self.at, self.took = index, now, took
+        move = bool(self.index) and self._should_transfer([peer.took for peer in answered])
+        self.index, self.durable_at, self.took = index, now, took
         for peer in peers.values():
             peer.took = 0.0
         return move
 
     def answered(self, now: float, peer: Peer) -> None:
-        """A member has the entry."""
+        """Records that a member has acknowledged the sampled entry."""
         if self.index and peer.match >= self.index and not peer.took:
-            peer.took = max(now - self.at, 1e-6)
+            peer.took = max(now - self.durable_at, 1e-6)
 
-    def _judge(self, others: list[float]) -> bool:
-        behind = self.took > self.slow and any(0 < took < self.took / QUICKER for took in others)
-        self.strikes = self.strikes + 1 if behind else 0
-        if self.strikes < IN_A_ROW:
+    def _should_transfer(self, others: list[float]) -> bool:
+        slower = self.took > self.slow and any(0 < took < self.took / MIN_SPEEDUP for took in others)
+        self.slow_samples = self.slow_samples + 1 if slower else 0
+        if self.slow_samples < SLOW_SAMPLES:
             return False
-        self.strikes = 0
+        self.slow_samples = 0
         return True
 
 
-def successor(now: float, peers: Mapping[int, Peer], within: float, last: int, quick: bool = False) -> int | None:
-    """Who should lead: of those heard lately the one whose log is furthest, and of equals the quickest.
+def successor(
+    now: float, peers: Mapping[int, Peer], within: float, commit_index: int, prefer_fast: bool = False
+) -> int | None:
+    """Picks the next leader among members heard from in the last `within` seconds.
 
-    None where nobody is heard, or where all lag so far that none could be voted for before it is fed (`last` is the
-    newest committed entry).
+    The member with the most up-to-date log wins, then the fastest; with `prefer_fast` in the opposite order. None
+    if no member qualifies: a member that lacks committed entries (up to `commit_index`) could not win an election
+    before the missing entries reach it.
     """
-    heard = [
+    candidates = [
         (peer.match, -(peer.took or within), member)
         for member, peer in peers.items()
-        if now - peer.heard_at <= within and peer.match >= last
+        if now - peer.heard_at <= within and peer.match >= commit_index
     ]
-    if not heard:
+    if not candidates:
         return None
-    return max(heard, key=lambda one: (one[1], one[0], one[2]) if quick else one)[2]
+    return max(candidates, key=lambda entry: (entry[1], entry[0], entry[2]) if prefer_fast else entry)[2]
--- a/otterquay/group/log.py
+++ b/otterquay/group/log.py
@@ -1,4 +1,4 @@
-"""The log in memory, from a snapshot's end on, and the writes that keep it."""
+"""The in-memory Raft log after the newest snapshot, and the writes that persist it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state after the entry at `index`."""
+    """The state machine's state after applying the entry at `index`."""
 
     index: int
     term: int
@@ -26,11 +26,11 @@
 
 
 class Log:
-    """Entries `base`+1 to `last`; what is up to `base` is in the snapshot."""
+    """Entries `base` + 1 to `last`; the snapshot covers all entries up to `base`."""
 
     def __init__(self) -> None:
         self.base = self.base_term = 0
-        self.state: bytes | None = None  # the snapshot's
+        self.state: bytes | None = None  # of the snapshot
         self.entries: list[Entry] = []
 
     @property
@@ -40,65 +40,65 @@
 
     @property
     def last_term(self) -> int:
-        """Its term."""
+        """Term of the newest entry."""
         return self.entries[-1].term if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """Term of an entry, None where it is not in the log (any more)."""
+        """Term of an entry; None if the log does not have it, or no longer has it."""
         if index == self.base:
             return self.base_term
         if self.base < index <= self.last:
             return self.entries[index - self.base - 1].term
         return None
 
-    def after(self, index: int, most: int, most_bytes: int) -> list[Entry]:
-        """Entries that follow, one at least where there is one, then as many as fit."""
+    def after(self, index: int, max_entries: int, max_bytes: int) -> list[Entry]:
+        """Entries that follow `index`: at least one if there is any, then as many as fit the limits."""
         found: list[Entry] = []
         size = 0
-        for entry in self.entries[index - self.base : index - self.base + most]:
+        for entry in self.entries[index - self.base : index - self.base + max_entries]:
             size += len(entry.data) + 16
-            if found and size > most_bytes:
+            if found and size > max_bytes:
                 break
             found.append(entry)
         return found
 
     def add(self, entry: Entry, out: Effects) -> int:
-        """One more at the end."""
+        """Appends an entry and returns its index."""
         self.entries.append(entry)
         out.write(LOG, _key(self.last), msgspec.msgpack.encode(entry))
         return self.last
 
     def merge(self, before: int, entries: list[Entry], out: Effects) -> int:
-        """Take a leader's entries after `before`; what differs goes. Returns the last index that agrees."""
+        """Takes a leader's entries after `before` and removes conflicting ones; returns the last matching index."""
         at = before
         for entry in entries:
             at += 1
             if at <= self.base:
-                continue  # settled: it is in the snapshot
+                continue  # already committed and part of the snapshot
             if at <= self.last:
                 if self.entries[at - self.base - 1].term == entry.term:
                     continue
-                for gone in range(at, self.last + 1):
-                    out.write(LOG, _key(gone), None)
+                for conflicting in range(at, self.last + 1):
+                    out.write(LOG, _key(conflicting), None)
                 del self.entries[at - self.base - 1 :]
             self.add(entry, out)
         return max(at, self.base)
 
-    def cut(self, index: int, state: bytes, out: Effects) -> None:
-        """The state at `index` takes the place of the entries up to it."""
+    def compact(self, index: int, state: bytes, out: Effects) -> None:
+        """Replaces the entries up to `index` by a snapshot of the state there."""
         term = self.term_at(index) or 0
         self.reset(index, term, state, self.entries[index - self.base :], out)
 
     def reset(self, index: int, term: int, state: bytes, keep: list[Entry], out: Effects) -> None:
-        """Begin with a snapshot; the entries kept follow on it."""
-        for gone in range(self.base + 1, self.last + 1):
-            if not index < gone <= index + len(keep):
-                out.write(LOG, _key(gone), None)
+        """Restarts the log from a snapshot, followed by the entries in `keep`."""
+        for removed in range(self.base + 1, self.last + 1):
+            if not index < removed <= index + len(keep):
+                out.write(LOG, _key(removed), None)
         out.write(META, SNAPSHOT, msgspec.msgpack.encode(Snapshot(index, term, state)))
         self.base, self.base_term, self.state, self.entries = index, term, state, list(keep)
 
     def load(self, snapshot: bytes | None, rows: Iterable[tuple[bytes, bytes]]) -> None:
-        """What the disk holds. ValueError where a place is missing."""
+        """Loads what the disk holds. ValueError if an entry is missing."""
         if snapshot is not None:
             found: Snapshot = msgspec.msgpack.decode(snapshot, type=Snapshot)
             self.base, self.base_term, self.state = found.index, found.term, found.state
--- a/otterquay/group/member.py
+++ b/otterquay/group/member.py
@@ -1,8 +1,8 @@
-"""One member: elections, replication, commits and reads of Raft, as a machine of events and a clock.
+"""A Raft member without I/O: elections, log replication, commits and linearizable reads, driven by events and time.
 
-The paper is Ongaro, Ousterhout, "In search of an understandable consensus algorithm" (2014); pre-vote, check-
-quorum and read index are sections 9.6, 6.2 and 6.4 of Ongaro's thesis. Times are seconds of the member's own
-clock; none is needed for safety: a wrong clock costs progress alone.
+See Ongaro, Ousterhout, "In search of an understandable consensus algorithm" (2014); pre-vote, check-quorum and read
+index are sections 9.6, 6.2 and 6.4 of Ongaro's thesis. Times are seconds of the member's own clock. Safety does not
+depend on the clock; a wrong clock only affects progress.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One member. `applied` is told each command's index, data and result, in order."""
+    """One Raft member. `applied` gets the index, term, data and result of each entry as it is applied, in order."""
 
     me: int
     members: Sequence[int]
@@ -39,29 +39,29 @@
     role: Role = Role.FOLLOWER
     leader: int | None = None
     commit_index: int = 0
-    last_applied: int = 0  # the last entry applied
-    durable_index: int = 0  # the last entry of our own that is on the disk
+    last_applied: int = 0
+    durable_index: int = 0  # the newest entry that is durable on this member's own disk
     election_at: float = 0.0
-    heard_at: float = -1e9  # of a leader
-    leading_since: float = 0.0  # since when this one leads, by its own no-op being applied; 0 before
+    heard_at: float = -1e9  # when a leader was last heard from
+    leading_since: float = 0.0  # when the no-op of this leader's term was applied; 0 before
     votes: set[int] = field(default_factory=set)
     peers: dict[int, Peer] = field(default_factory=dict)
     reads: list[PendingRead] = field(default_factory=list)
     round: int = 0
     heartbeat_at: float = 0.0
-    noop_index: int = 0  # index of this leader's no-op
+    noop_index: int = 0  # of this leader's term
     disk: SlowDiskDetector = field(init=False)
-    transfer_due: bool = False  # this leader's disk is slower than others'
+    transfer_due: bool = False  # this leader's disk is slower than another member's
 
     def __post_init__(self) -> None:
         self.disk = SlowDiskDetector(self.times.slow)
 
-    # --- life ---
+    # --- start and timers ---
     def start(self, now: float, kept: bytes | None) -> None:
-        """Begin as a follower with what the disk holds."""
+        """Starts as a follower with the term and vote that the disk holds, if any."""
         if kept is not None:
-            was: HardState = msgspec.msgpack.decode(kept, type=HardState)
-            self.term, self.voted_for = was.term, was.vote
+            stored: HardState = msgspec.msgpack.decode(kept, type=HardState)
+            self.term, self.voted_for = stored.term, stored.vote
         if self.log.state is not None:
             self.machine.load(self.log.state)
         self.commit_index = self.last_applied = self.log.base
@@ -73,17 +73,17 @@
 
     @property
     def majority(self) -> int:
-        """How many make one."""
+        """The number of members that form a majority."""
         return len(self.members) // 2 + 1
 
     def due(self) -> float:
-        """When `tick` has something to do."""
+        """When `tick` next has something to do."""
         if not self.joining.ready:
             return self.joining.asked_at + 0.5
         return self.heartbeat_at if self.role is Role.LEADER else self.election_at
 
     def tick(self, now: float, out: Effects) -> None:
-        """Time has passed."""
+        """Runs the timers that are due."""
         if len(self.joining.welcomed) < len(self.members) - 1:
             self.joining.ask(now, self.term, self.log.last, out)
         if not self.joining.ready:
@@ -98,12 +98,12 @@
             self._start_prevote(now, out)
 
     def confirmed(self, now: float) -> bool:
-        """Whether a majority has answered this leader within the election time."""
+        """Whether a majority has answered this leader within the election timeout."""
         heard = 1 + sum(now - p.heard_at <= self.times.election for p in self.peers.values())
         return self.role is Role.LEADER and heard >= self.majority
 
     def receive(self, now: float, sender: int, message: ms.Message, out: Effects) -> None:
-        """A message of another member."""
+        """Handles a message from another member."""
         if sender == self.me or sender not in self.members:
             return
         match message:
@@ -115,7 +115,7 @@
                     self._become_follower(now, None, out)
                 return
         if not self.joining.ready:
-            return  # what is not sure of its own past promises nothing
+            return  # not admitted yet: its disk may have lost votes or entries, so it takes no part
         match message:
             case ms.PreVote():
                 self._prevote(now, sender, message, out)
@@ -149,7 +149,7 @@
         self._reset_election_timer(now)
 
     def _leader_is_recent(self, now: float) -> bool:
-        """A leader was heard so lately that nobody needs another one."""
+        """Whether this member leads or has heard from a leader within the election timeout."""
         return self.role is Role.LEADER or now - self.heard_at < self.times.election
 
     def _log_is_up_to_date(self, last: int, last_term: int) -> bool:
@@ -178,11 +178,11 @@
             if len(self.votes) >= self.majority:
                 self._start_election(now, out)
 
-    def transfer_leadership(self, now: float, out: Effects, quick: bool = False) -> bool:
-        """Give the leadership away; False where nobody could take it. Not to be led by this one for a while."""
+    def transfer_leadership(self, now: float, out: Effects, prefer_fast: bool = False) -> bool:
+        """Transfers leadership and delays this member's next election; False if no member could take over."""
         if self.role is not Role.LEADER:
             return False
-        to = successor(now, self.peers, self.times.election, self.commit_index, quick)
+        to = successor(now, self.peers, self.times.election, self.commit_index, prefer_fast)
         if to is None:
             return False
         out.log("leader_hands_over", term=self.term, to=to)
@@ -239,20 +239,20 @@
         self._track_durability(now, out)
         self._send_heartbeats(now, out)
 
-    def _track_durability(self, begun: float, out: Effects) -> None:
-        """What was just added counts for the majority once it is on this disk."""
+    def _track_durability(self, appended_at: float, out: Effects) -> None:
+        """Counts the newest entry towards the majority once it is durable on this disk."""
         index, term = self.log.last, self.term
 
         def mark_durable(now: float) -> None:
             if self.term == term:
                 self.durable_index = max(self.durable_index, min(index, self.log.last))
-                if self.role is Role.LEADER and self.disk.lasted(now, index, now - begun, self.peers):
+                if self.role is Role.LEADER and self.disk.entry_durable(now, index, now - appended_at, self.peers):
                     self.transfer_due = True
 
         out.on_durable.append(mark_durable)
 
     def handle_durable(self, now: float, out: Effects) -> None:
-        """After writes have come to last: commit what a majority now has, and make room for a quicker disk."""
+        """Called once writes are durable: commits what a majority now has; may transfer to a faster disk."""
         if self.role is Role.LEADER:
             self._commit(now, out)
         if self.transfer_due:
@@ -260,9 +260,9 @@
             if self.leading_since:
                 self.transfer_leadership(now, out, True)
 
-    # --- the leader's side ---
+    # --- leader ---
     def propose(self, now: float, data: bytes, out: Effects) -> int | None:
-        """Add a command; its index, or None where this member does not lead or too much waits already."""
+        """Appends a command and returns its index; None if not the leader or too many entries are uncommitted."""
         if self.role is not Role.LEADER or self.log.last - self.commit_index >= self.sizes.uncommitted:
             return None
         index = self.log.add(ms.Entry(self.term, data), out)
@@ -270,14 +270,17 @@
         return index
 
     def flush(self, now: float, out: Effects) -> None:
-        """Send what was proposed to all that wait for nothing: all of one step goes in one message."""
+        """Sends the entries proposed in this step to each idle follower, in one message."""
         if self.role is Role.LEADER:
             for member, peer in self.peers.items():
                 if not peer.waiting and peer.next <= self.log.last:
                     self._replicate(now, member, peer, out)
 
     def read(self, now: float, done: Callable[[float, Effects], None], out: Effects) -> bool:
-        """`done` runs when all committed before this call is applied and this one still led; False: not here."""
+        """Starts a linearizable read; False if this member cannot serve it.
+
+        `done` is called once a majority has confirmed this leader and everything committed before is applied.
+        """
         if self.role is not Role.LEADER or self.commit_index < self.noop_index:
             return False
         self.round += 1
@@ -329,7 +332,7 @@
         peer.heard_at, peer.round = now, max(peer.round, m.round)
         if m.ok:
             if m.match > self.log.last:
-                return  # no answer to anything of ours
+                return  # does not answer any entry of this log
             self.joining.heard(sender, m.term, m.match)
             if m.match > peer.match or m.match + 1 >= peer.next:
                 peer.waiting = False
@@ -349,7 +352,7 @@
         index = matches[self.majority - 1]
         if (
             index > self.commit_index and self.log.term_at(index) == self.term
-        ):  # of its own term alone: section 5.4.2
+        ):  # only entries of its own term, section 5.4.2
             self.commit_index = index
             self._apply(now, out)
             self._complete_reads(now, out)
@@ -361,8 +364,8 @@
         confirmed_round = rounds[self.majority - 1]
         ready = [r for r in self.reads if r.round <= confirmed_round and r.index <= self.last_applied]
         self.reads = [r for r in self.reads if r not in ready]
-        for one in ready:
-            one.done(now, out)
+        for pending in ready:
+            pending.done(now, out)
 
     def _apply(self, now: float, out: Effects) -> None:
         while self.last_applied < self.commit_index:
@@ -374,9 +377,9 @@
                 self.leading_since = now
             self.applied(index, entry.term, entry.data, result, out)
         if self.last_applied - self.log.base >= self.sizes.snapshot_after:
-            self.log.cut(self.last_applied, self.machine.dump(), out)
+            self.log.compact(self.last_applied, self.machine.dump(), out)
 
-    # --- the follower's side ---
+    # --- follower ---
     def _append(self, now: float, sender: int, m: ms.Append, out: Effects) -> None:
         if m.term < self.term:
             out.send(sender, ms.Appended(self.term, False, 0, 0))
@@ -429,7 +432,7 @@
     times: Times,
     sizes: Sizes,
 ) -> Member:
-    """A member with what the tables of its disk hold. ValueError, msgspec.MsgspecError: they cannot be right."""
+    """Creates a member from its disk's tables. ValueError, msgspec.MsgspecError: the tables are not valid."""
     log = Log()
     meta = table.get(META, {})
     log.load(meta.get(SNAPSHOT), sorted(table.get(LOG, {}).items()))
--- a/otterquay/group/messages.py
+++ b/otterquay/group/messages.py
@@ -1,4 +1,4 @@
-"""Words between members of the group. Each names the sender's term; terms only rise."""
+"""Messages between members of the group. Terms only increase."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One place of the log; empty data is a fresh leader's no-op."""
+    """One log entry; empty data is the no-op that a new leader appends."""
 
     term: Number
     data: Blob
 
 
 class Hello(msgspec.Struct, tag="hello", array_like=True, frozen=True):
-    """A member that has started names its disk, which of the disk's starts this is, and how far its log goes."""
+    """Announces a started member: its disk, the number and nonce of this start, its term and last log index."""
 
     disk: Number
     boot: Number
@@ -28,14 +28,14 @@
 
 
 class Welcome(msgspec.Struct, tag="welcome", array_like=True, frozen=True):
-    """The start of that nonce may take part, or not: `reason` is empty when it may."""
+    """Accepts the start with that nonce if `reason` is empty; otherwise refuses it."""
 
     nonce: Number
     reason: str
 
 
 class PreVote(msgspec.Struct, tag="prevote", array_like=True, frozen=True):
-    """Would you vote for me in this term? Nothing is kept of it."""
+    """Asks whether the receiver would vote for the sender in this term; the receiver stores nothing."""
 
     term: Number
     last: Number
@@ -43,7 +43,7 @@
 
 
 class PreVoted(msgspec.Struct, tag="prevoted", array_like=True, frozen=True):
-    """The answer, for the term that was asked about; `own` is the voter's own term."""
+    """The answer to PreVote: `term` is the term asked about, `own` the voter's own term."""
 
     term: Number
     granted: bool
@@ -51,7 +51,7 @@
 
 
 class Vote(msgspec.Struct, tag="vote", array_like=True, frozen=True):
-    """Vote for me in this term; `handed` where the leader gave its place to this member."""
+    """Requests a vote in this term; `transfer` marks an election that a leadership transfer started."""
 
     term: Number
     last: Number
@@ -60,14 +60,14 @@
 
 
 class Voted(msgspec.Struct, tag="voted", array_like=True, frozen=True):
-    """The answer."""
+    """The answer to Vote."""
 
     term: Number
     granted: bool
 
 
 class Append(msgspec.Struct, tag="append", array_like=True, frozen=True):
-    """Entries after `before`; with none it is a heartbeat. `round` comes back in the answer."""
+    """Log entries that follow index `before`; without entries it is a heartbeat. The answer repeats `round`."""
 
     term: Number
     before: Number
@@ -78,7 +78,7 @@
 
 
 class Appended(msgspec.Struct, tag="appended", array_like=True, frozen=True):
-    """The log agrees up to `match` (ok), or try after `match` (not ok)."""
+    """The answer to Append or Install: the log matches up to `match` if `ok`; otherwise retry after `match`."""
 
     term: Number
     ok: bool
@@ -87,7 +87,7 @@
 
 
 class Install(msgspec.Struct, tag="install", array_like=True, frozen=True):
-    """The whole state up to `index`, for one whose next entry is no longer in the log."""
+    """A snapshot of the state up to `index`, for a follower whose next entry is no longer in the leader's log."""
 
     term: Number
     index: Number
@@ -97,7 +97,7 @@
 
 
 class Hand(msgspec.Struct, tag="hand", array_like=True, frozen=True):
-    """The leader of this term has stepped down: stand at once."""
+    """Leadership transfer: the leader of this term has stepped down, so the receiver starts an election at once."""
 
     term: Number
 
--- a/otterquay/group/parts.py
+++ b/otterquay/group/parts.py
@@ -1,4 +1,4 @@
-"""What a member is made of: its pace and bounds, what it is at the moment, what it knows of the others."""
+"""Types of a Raft member: timing and size limits, role, per-peer replication state and persistent state."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StateMachine(Protocol):
-    """What the log's commands act on: the same commands in the same order give the same state everywhere."""
+    """The replicated state machine: the same commands in the same order must give the same state everywhere."""
 
     def apply(self, index: int, data: bytes) -> object: ...
 
@@ -26,26 +26,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """Seconds. A leader beats every `beat`; elections begin after `election` to twice that without one."""
+    """Seconds. A leader sends heartbeats every `heartbeat`.
+
+    A follower that hears none starts an election after a random time between `election` and twice `election`.
+    """
 
     heartbeat: float = 0.1
     election: float = 1.0
     resend: float = 0.3
-    slow: float = 0.25  # a leader's own write that takes longer counts against its disk
+    slow: float = 0.25  # a write on the leader's own disk that takes longer is a sign of a slow disk
 
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """Entries and bytes in one message; entries after which the state is written in their place."""
+    """Limits: entries and bytes in one message, log entries before a snapshot replaces them."""
 
     entries: int = 512
     bytes: int = 512 * 1024
     snapshot_after: int = 1024
-    uncommitted: int = 4096  # proposals that wait for a majority; one further is refused
+    uncommitted: int = 4096  # proposals that wait to be committed; further ones are rejected
 
 
 class Role(Enum):
-    """What a member is at the moment."""
+    """The current role of a member."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "asking"  # pre-vote
@@ -55,20 +58,20 @@
 
 @dataclass(slots=True)
 class Peer:
-    """What a leader knows of another member."""
+    """A leader's replication state for one other member."""
 
     next: int
     match: int = 0
-    waiting: bool = False  # for the answer to entries
+    waiting: bool = False  # for the answer to an Append with entries or to an Install
     sent_at: float = -1e9
     heard_at: float = -1e9
     round: int = 0
-    took: float = 0.0  # for the entry that is followed (handover.py), 0 while it has not answered
+    took: float = 0.0  # seconds until it acknowledged the sampled entry (see leadership.py); 0 until then
 
 
 @dataclass(slots=True)
 class PendingRead:
-    """A read that waits for a majority to say that this is still the leader."""
+    """A linearizable read that waits until a majority confirms this member as the leader (read index)."""
 
     round: int
     index: int
@@ -76,7 +79,7 @@
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True):
-    """Term and vote as the disk has them."""
+    """Term and vote as stored on disk."""
 
     term: int
     vote: int | None
--- a/tests/fleet/test_handover.py
+++ b/tests/fleet/test_handover.py
@@ -8,7 +8,7 @@
 
 from otterquay.cores.effects import Effects
 from otterquay.group import messages as ms
-from otterquay.group.leadership import IN_A_ROW, SlowDiskDetector, successor
+from otterquay.group.leadership import SLOW_SAMPLES, SlowDiskDetector, successor
 from otterquay.group.parts import Peer, Role
 from otterquay.lab.fleetsim.world import Sim
 
@@ -73,14 +73,14 @@
     def samples(own: list[float], theirs: float, answers: bool = True) -> list[bool]:
         pace, peer, found = SlowDiskDetector(0.25), Peer(1), []
         for i, took in enumerate(own, 1):
-            found.append(pace.lasted(5.0 * i, i, took, {1: peer}))
+            found.append(pace.entry_durable(5.0 * i, i, took, {1: peer}))
             if answers:
                 peer.match = i
                 pace.answered(5.0 * i + theirs, peer)
         return found
 
-    slow = [0.5] * (IN_A_ROW + 1)
-    assert samples(slow, 0.01) == [False] * IN_A_ROW + [True]
+    slow = [0.5] * (SLOW_SAMPLES + 1)
+    assert samples(slow, 0.01) == [False] * SLOW_SAMPLES + [True]
     assert not any(samples([0.5, 0.5, 0.1, 0.5, 0.5, 0.5], 0.01)), "not in a row"
     assert not any(samples(2 * slow, 0.4)), "all are slow alike"
     assert not any(samples(2 * slow, 0.01, answers=False)), "nobody to move to is heard"
