--- a/otterquay/duties/calls.py
+++ b/otterquay/duties/calls.py
@@ -1,4 +1,4 @@
-"""What the work of an owner, a coordinator or a holder asks for: the yard, and the group."""
+"""Types of the callables by which owners, coordinators and post holders call the yard and the group."""
 
 from __future__ import annotations
 
--- a/otterquay/duties/client.py
+++ b/otterquay/duties/client.py
@@ -1,4 +1,4 @@
-"""An agent's way to the group: one proposal at a time, asked again under the same number until it is answered."""
+"""An agent's client of the group: sends one proposal at a time and retries it by the same number until answered."""
 
 from __future__ import annotations
 
@@ -16,29 +16,32 @@
 
 @dataclass(slots=True)
 class Client:
-    """`life` rises with every start of the agent, so that an earlier one's proposals can be told from its own."""
+    """Queues proposals and sends them to the leader.
+
+    `incarnation` increases with every start of the agent, which tells its proposals from those of earlier starts.
+    """
 
     me: int
     incarnation: int
     members: Sequence[int]
     retry_s: float = 0.5
-    target_index: int = 0  # index into members, of whom to ask
+    target_index: int = 0  # index into `members` of the member to send to
     number: int = 0
     queue: deque[tuple[cm.Command, ResultCallback]] = field(default_factory=deque)
     in_flight: cm.Proposal | None = None
     sent_at: float = -1e9
-    first_sent_at: float = 0.0  # when the proposal that is out was first sent
+    first_sent_at: float = 0.0  # when the proposal in flight was first sent
 
-    def propose(self, now: float, command: cm.Command, told: ResultCallback, out: Effects) -> bool:
-        """Queue a command; False where too many wait. `told` gets the result, never before this returns."""
+    def propose(self, now: float, command: cm.Command, on_result: ResultCallback, out: Effects) -> bool:
+        """Queues a command; False if the queue is full. `on_result` is never called before this returns."""
         if len(self.queue) >= MAX_QUEUED:
             return False
-        self.queue.append((command, told))
+        self.queue.append((command, on_result))
         self.tick(now, out)
         return True
 
     def tick(self, now: float, out: Effects) -> None:
-        """Send the next one, or the one that is out again, to another member."""
+        """Sends the next proposal, or retries the one in flight with another member."""
         if self.in_flight is None:
             if not self.queue:
                 return
@@ -57,7 +60,7 @@
         out.send(self.members[self.target_index], Propose(self.in_flight))
 
     def handle_elsewhere(self, now: float, m: Elsewhere, out: Effects) -> None:
-        """The member asked does not lead."""
+        """Handles a redirect: the member asked is not the leader."""
         if self.in_flight is None or (m.incarnation, m.number) != (self.incarnation, self.in_flight.number):
             return
         if m.leader in self.members:
@@ -67,17 +70,17 @@
                 self._send(now, out)
 
     def handle_done(self, now: float, sender: int, m: Done, out: Effects) -> None:
-        """An answer; one to an earlier proposal or life is passed over."""
+        """Handles an answer; ignores one to an earlier proposal or incarnation."""
         if self.in_flight is None or (m.incarnation, m.number) != (self.incarnation, self.in_flight.number):
             return
         if sender in self.members:
             self.target_index = self.members.index(sender)
         self.in_flight = None
-        _, told = self.queue.popleft()
-        told(now, m.result, out)
+        _, on_result = self.queue.popleft()
+        on_result(now, m.result, out)
         self.tick(now, out)
 
     def clear(self) -> None:
-        """Give up all that waits; what is out may still take effect."""
+        """Drops all queued commands; the proposal in flight may still take effect."""
         self.queue.clear()
         self.in_flight = None
--- a/otterquay/duties/commands.py
+++ b/otterquay/duties/commands.py
@@ -1,4 +1,4 @@
-"""Commands that the group's log orders, and what came of them."""
+"""Commands of the group's log, and their results."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
 
 class Join(msgspec.Struct, tag="join", array_like=True, frozen=True):
-    """An agent whose disk knows of no promise asks whether it ever was here: none votes in its site before that."""
+    """Asks whether this agent ever joined before; an agent with an empty disk does not vote until answered."""
 
     site: Name
 
 
 class Claim(msgspec.Struct, tag="claim", array_like=True, frozen=True):
-    """Make this agent the owner of a duty that has none."""
+    """Makes this agent the owner of a duty that has no owner."""
 
     duty: Name
 
 
 class Renew(msgspec.Struct, tag="renew", array_like=True, frozen=True):
-    """Go on owning."""
+    """Renews the lease of a duty."""
 
     duty: Name
     token: Token
 
 
 class Release(msgspec.Struct, tag="release", array_like=True, frozen=True):
-    """Own no longer; the duty is free at once."""
+    """Gives up a duty, which is free at once."""
 
     duty: Name
     token: Token
 
 
 class Expire(msgspec.Struct, tag="expire", array_like=True, frozen=True):
-    """The leader's word that a lease has run out, as of so many renewals."""
+    """Sent by the leader alone: the lease has expired, unless renewed since it counted `renewals`."""
 
     duty: Name
     token: Token
@@ -50,7 +50,7 @@
 
 
 class Order(msgspec.Struct, tag="order", array_like=True, frozen=True):
-    """Write an order down before it is sent: `count` servers of a kind, fewer than 0 to retire some."""
+    """Records an order before it is sent to the yard: `count` servers of a kind, negative to retire some."""
 
     duty: Name
     token: Token
@@ -60,7 +60,7 @@
 
 
 class Settle(msgspec.Struct, tag="settle", array_like=True, frozen=True):
-    """What the yard says of an order; `final` when nothing more will come of it."""
+    """Records how many servers the yard started for an order; `final` if no more will start."""
 
     duty: Name
     token: Token
@@ -70,7 +70,7 @@
 
 
 class Ended(msgspec.Struct, tag="ended", array_like=True, frozen=True):
-    """How many servers of a kind the yard says have ended by themselves since its beginning."""
+    """Records the yard's total of servers of a kind that have ended by themselves since the yard began."""
 
     duty: Name
     token: Token
@@ -79,7 +79,7 @@
 
 
 class Allot(msgspec.Struct, tag="allot", array_like=True, frozen=True):
-    """Hand a site servers that it may order while it is cut off; `total` is all that it ever got."""
+    """Raises a site's allowance of servers to order while cut off; `total` includes all earlier allotments."""
 
     token: Token
     site: Name
@@ -87,7 +87,7 @@
 
 
 class Act(msgspec.Struct, array_like=True, frozen=True):
-    """One act of a site's coordinator: an order with its state, or a cap that it lowered."""
+    """One act of a site's coordinator: an order with its state, or a lowered cap."""
 
     id: Name
     what: Annotated[str, Meta(pattern="^(order|cap)$")]
@@ -96,11 +96,11 @@
     started: Count = 0
     build: Number = 0
     cap: Share = 0.0
-    sent: bool = False  # reserved with a majority, and on its way to the yard; before that it cannot have happened
+    sent: bool = False  # reserved with a majority and sent to the yard; before that it cannot take effect
 
 
 class Handover(msgspec.Struct, tag="handover", array_like=True, frozen=True):
-    """A coordinator's journal, or a part of it; `last` closes it."""
+    """A coordinator's journal or a part of it; `last` closes the journal."""
 
     site: Name
     token: Token
@@ -109,9 +109,9 @@
 
 
 class Found(msgspec.Struct, tag="found", array_like=True, frozen=True):
-    """What the yard's list says of a site's orders once it refuses all older tokens.
+    """A site's orders from the yard's list, read after the yard has begun to refuse all older tokens.
 
-    With `last`, `spent` is what a majority of the site's agents say was reserved, and all older journals are
+    With `last`, `spent` is what a majority of the site's agents report as reserved, and all older journals are
     settled.
     """
 
@@ -123,7 +123,7 @@
 
 
 class Publish(msgspec.Struct, tag="publish", array_like=True, frozen=True):
-    """The fleet's table of run times."""
+    """Publishes the fleet's table of run times."""
 
     token: Token
     version: Number
@@ -131,7 +131,7 @@
 
 
 class Cap(msgspec.Struct, tag="cap", array_like=True, frozen=True):
-    """A cap that the fleet's owner lowers for a build."""
+    """Lowers the cap of a build; sent by the owner of the fleet's capacity."""
 
     token: Token
     build: Number
@@ -158,7 +158,7 @@
 
 
 class Proposal(msgspec.Struct, array_like=True, frozen=True):
-    """An agent's command; the same life and number again is the same proposal and is not done twice."""
+    """An agent's command. A repeated incarnation and number is the same proposal and is not applied twice."""
 
     agent: Agent
     incarnation: Number
@@ -167,7 +167,7 @@
 
 
 class Result(msgspec.Struct, array_like=True, frozen=True):
-    """What came of a proposal: `ok`, or why not; the token of a grant; what an owner has to go on with."""
+    """Result of a proposal: whether it was applied, else why not; the token of the grant or duty concerned."""
 
     ok: bool
     reason: Text = ""
@@ -175,7 +175,7 @@
 
 
 def encode(proposal: Proposal) -> bytes:
-    """For the log."""
+    """Encodes a proposal for the log."""
     return msgspec.msgpack.encode(proposal)
 
 
@@ -183,5 +183,5 @@
 
 
 def decode(data: bytes) -> Proposal:
-    """From the log; msgspec.MsgspecError for what is none."""
+    """Decodes a proposal from the log. msgspec.MsgspecError if it is not valid."""
     return _DECODER.decode(data)
--- a/otterquay/duties/messages.py
+++ b/otterquay/duties/messages.py
@@ -1,4 +1,4 @@
-"""Words between an agent and the group's leader, and between agents about run times."""
+"""Messages between an agent and the group's leader, and between agents about run times."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class Propose(msgspec.Struct, tag="propose", array_like=True, frozen=True):
-    """Do this."""
+    """Asks the leader to commit a proposal."""
 
     proposal: Proposal
 
 
 class Done(msgspec.Struct, tag="done", array_like=True, frozen=True):
-    """It is committed; what came of it."""
+    """The result of a proposal: committed, or refused by the leader."""
 
     incarnation: Number
     number: Number
@@ -29,7 +29,7 @@
 
 
 class Elsewhere(msgspec.Struct, tag="elsewhere", array_like=True, frozen=True):
-    """This member does not lead; perhaps that one does."""
+    """The member asked is not the leader; `leader` is the one that it knows of, if any."""
 
     incarnation: Number
     number: Number
@@ -37,32 +37,32 @@
 
 
 class Status(msgspec.Struct, tag="status", array_like=True, frozen=True):
-    """An agent tells the leader that it is there, which coordinators it followed, and what it knows as reserved."""
+    """An agent's heartbeat to the leader: coordinators it followed, servers it knows as reserved, its posts."""
 
     incarnation: Number
     site: Name
     followed: Annotated[list[Token], Meta(max_length=128)]
     spent: Number
-    cut: bool  # whether it follows a coordinator right now
-    number: Number = 0  # rises with each; 0: it takes no posts
-    applied: Number = 0  # the newest of them whose answer it has applied
+    cut: bool  # whether it follows a coordinator at the moment
+    number: Number = 0  # increases with each status; 0: the agent takes no posts
+    applied: Number = 0  # number of the newest status whose answer it has applied
     holding: Annotated[list[Number], Meta(max_length=MAX_POSTS)] = []  # tokens of its posts
 
 
 class SiteBeat(msgspec.Struct, array_like=True, frozen=True):
-    """What the group tells a site's agents of their site."""
+    """The part of a Beat about the agent's own site."""
 
     token: Token
     granted: Number
     floor: Token
     closed: Annotated[list[Token], Meta(max_length=128)]
-    open: Annotated[list[Token], Meta(max_length=128)]  # journals that are not taken
-    spent: Number  # what a majority of the site's agents say is reserved
+    open: Annotated[list[Token], Meta(max_length=128)]  # journals that the group has not recorded
+    spent: Number  # what a majority of the site's agents report as reserved
     settled: Number  # what the group has accounted for
 
 
 class Beat(msgspec.Struct, tag="beat", array_like=True, frozen=True):
-    """A leader that a majority answers replies to a status: what duties are free, and the agent's own site."""
+    """Answer to Status of a leader that a majority confirms: owners, the agent's own site, caps and its posts."""
 
     incarnation: Number
     owners: dict[Name, Agent | None]
@@ -71,18 +71,18 @@
     table: Number  # version of the table of run times
     epoch: Number
     number: Number = 0  # of the status that this answers
-    posts: Annotated[list[tuple[PostName, Token]], Meta(max_length=MAX_POSTS)] | None = None  # held from now on
+    posts: Annotated[list[tuple[PostName, Token]], Meta(max_length=MAX_POSTS)] | None = None  # to hold from now on
 
 
 class AskBooks(msgspec.Struct, tag="ask-books", array_like=True, frozen=True):
-    """What does the group hold of this site's servers? Read as of now; the answer names the number."""
+    """Asks for the group's records of a site's servers by a linearizable read; the answer repeats `number`."""
 
     site: Name
     number: Number = 0
 
 
 class Books(msgspec.Struct, tag="books", array_like=True, frozen=True):
-    """Open orders, servers alive, allowances of all sites, and room under the bound."""
+    """A site's open orders and servers alive, the allowances of all sites, and the room left under the bound."""
 
     site: Name
     orders: dict[str, OrderState]
@@ -94,11 +94,11 @@
 
 
 class AskTable(msgspec.Struct, tag="ask-table", array_like=True, frozen=True):
-    """The table of run times, please."""
+    """Asks for the table of run times."""
 
 
 class Table(msgspec.Struct, tag="table", array_like=True, frozen=True):
-    """The newest one, under its owner's token."""
+    """The newest table of run times, with the token of the owner that published it."""
 
     version: Number
     token: Token
@@ -106,19 +106,19 @@
 
 
 class Rows(msgspec.Struct, tag="rows", array_like=True, frozen=True):
-    """Rows of run times, to the owner of the fleet's capacity or to the site's coordinator."""
+    """Rows of run times, sent to the owner of the fleet's capacity or to the site's coordinator."""
 
     rows: Small
 
 
 class Asked(msgspec.Struct, tag="asked", array_like=True, frozen=True):
-    """Requests a second by class that an agent sees, to the owner of its site's servers or the coordinator."""
+    """An agent's requests per second by class, sent to the owner of its site's servers or to the coordinator."""
 
     rates: Annotated[dict[Name, Seconds], Meta(max_length=64)]
 
 
 class Relayed(msgspec.Struct, tag="relayed", array_like=True, frozen=True):
-    """A message passed on for one that cannot hear the other itself: from `origin` to `to`."""
+    """A message from `origin` to `to`, relayed because they cannot reach each other directly."""
 
     origin: Agent
     to: Agent
--- a/otterquay/duties/posts/__init__.py
+++ b/otterquay/duties/posts/__init__.py
@@ -1,6 +1,6 @@
-"""Many small duties, spread evenly over the agents that can hear the group.
+"""Posts: many small duties, spread evenly over the agents that can reach the group.
 
-A post is a duty to look: at the yard's list of one site, for one kind of server, and to tell the group what is
-there. There are as many as sites and kinds, hundreds in a large fleet. The leader assigns them, so nobody competes
-for one, and what is told about the owners of a site's capacity comes from others than themselves.
+The holder of a post watches the yard's list of one site for one kind of server and reports it to the group. There
+is one post per site and kind, hundreds in a large fleet. The leader assigns posts, so agents don't compete for
+them, and reports about the owner of a site's capacity come from agents other than that owner.
 """
--- a/otterquay/duties/posts/holder.py
+++ b/otterquay/duties/posts/holder.py
@@ -1,8 +1,7 @@
-"""The agent's side: which posts it holds, and for how long it may think so.
+"""The agent's side of the posts: which it holds, and until when.
 
-Its lease is renewed by the leader's answers to its statuses and counts from when the status was sent, so that no
-entry of the log is spent on renewals. Only answers to newer statuses count: a late one takes nothing back and
-gives nothing.
+The leader's answers to the agent's statuses renew its lease, which counts from when the status was sent, so
+renewals need no log entries. Only answers to newer statuses count: a late answer neither adds nor removes posts.
 """
 
 from __future__ import annotations
@@ -13,12 +12,12 @@
 from otterquay.duties.lease import LeaseTerms
 from otterquay.duties.token import Token
 
-MAX_SENT_STATUSES = 64  # statuses whose answer may still come
+MAX_SENT_STATUSES = 64  # statuses that may still be answered
 
 
 @dataclass(slots=True)
 class Holder:
-    """Times are seconds of this agent's clock."""
+    """The posts that this agent holds. Times are seconds of its own clock."""
 
     terms: LeaseTerms
     number: int = 0
@@ -28,7 +27,7 @@
     _sent: dict[int, float] = field(default_factory=dict)
 
     def status(self, now: float) -> tuple[int, int, list[int]]:
-        """For a status that leaves now: its number, the newest answer applied, and the tokens held."""
+        """Content of a status that is sent now: its number, the newest answered number applied, the tokens held."""
         self.number += 1
         self._sent[self.number] = now
         while len(self._sent) > MAX_SENT_STATUSES:
@@ -36,18 +35,18 @@
         return self.number, self.applied, sorted(token.group for token in self.held(now).values())
 
     def answered(self, now: float, number: int, posts: Iterable[tuple[str, Token]]) -> None:
-        """The leader's answer to that status."""
+        """Handles the leader's answer to the status `number`."""
         sent = self._sent.get(number)
         if sent is None or number <= self.applied:
             return
         self.applied, self.until, self.posts = number, sent + self.terms.owner, dict(posts)
 
     def held(self, now: float) -> dict[str, Token]:
-        """What may be acted on now."""
+        """The posts held now, with their tokens."""
         if now >= self.until:
             self.posts = {}
         return self.posts
 
     def drop(self) -> None:
-        """Hold nothing, until the leader says again what is held: this agent ends, or begins a new life."""
+        """Gives up all posts until the leader's next answer: the agent shuts down or begins a new incarnation."""
         self.posts, self.until = {}, -1e9
--- a/otterquay/duties/posts/names.py
+++ b/otterquay/duties/posts/names.py
@@ -9,16 +9,16 @@
 
 PostName = Annotated[str, Meta(min_length=1, max_length=136)]
 LOOK = "look"
-MAX_POSTS = 4096  # beyond them a site's kind is looked at by nobody
+MAX_POSTS = 4096  # sites' kinds beyond this limit are not watched
 
 
 def post_name(site: str, kind: str) -> str:
-    """The post of a site and kind."""
+    """The name of the post for a site and kind."""
     return f"{LOOK}/{site}/{kind}"
 
 
 def site_and_kind(post: str) -> tuple[str, str]:
-    """Its site and kind; ValueError for what is no post."""
+    """The site and kind of a post's name. ValueError if it is not the name of a post."""
     parts = post.split("/", 2)
     if len(parts) != 3 or parts[0] != LOOK or not all(parts):
         raise ValueError(f"{post[:80]!r} is no post")
@@ -26,6 +26,6 @@
 
 
 def post_names(sites: Iterable[str], kinds: Mapping[str, Iterable[str]]) -> list[str]:
-    """All posts of these sites and their kinds, in order, within the bound."""
-    found = sorted({post_name(site, kind) for site in sites for kind in kinds.get(site, ())})
-    return found[:MAX_POSTS]
+    """Names of all posts of these sites and their kinds, sorted, up to the limit."""
+    names = sorted({post_name(site, kind) for site in sites for kind in kinds.get(site, ())})
+    return names[:MAX_POSTS]
--- a/otterquay/duties/posts/placement.py
+++ b/otterquay/duties/posts/placement.py
@@ -1,9 +1,8 @@
-"""Who takes which post: rendezvous hashing (Thaler and Ravishankar, 1998) under a bound on load, with no move that
-evenness does not need.
+"""Placement of posts: bounded-load rendezvous hashing (Thaler and Ravishankar, 1998) with minimal moves.
 
-A post stays where it is unless its agent is gone, barred from it, or holds more than its share rounded up. One
-agent that goes moves what it held; one that comes is handed at most its share rounded down. Among the agents that
-have room a post goes to the one whose hash with it is best, so that a new leader with the same news chooses alike.
+A post stays where it is unless its agent is gone, is barred from the post, or holds more than its share rounded up.
+When an agent leaves, only its posts move; an agent that joins gets at most its share rounded down. Among the agents
+with room, a post goes to the one with the best hash score, so a new leader with the same information decides alike.
 """
 
 from __future__ import annotations
@@ -17,15 +16,15 @@
 
 
 def score(post: str, agent: int, weight: float) -> float:
-    """Weighted rendezvous: the least wins, each agent as often as its weight. Without a unit."""
-    drawn = (xxhash.xxh3_64_intdigest(f"{post}@{agent}".encode()) + 1) / 2**64
-    return -math.log(drawn) / weight
+    """Weighted rendezvous score (unitless): the lowest wins, so each agent wins in proportion to its weight."""
+    uniform = (xxhash.xxh3_64_intdigest(f"{post}@{agent}".encode()) + 1) / 2**64
+    return -math.log(uniform) / weight
 
 
 def shares(posts: int, weights: Mapping[int, float]) -> dict[int, float]:
-    """How many posts each agent should have; their sum is `posts`."""
-    whole = sum(weights.values())
-    return {agent: posts * weight / whole for agent, weight in weights.items()}
+    """The fractional number of posts that each agent should hold; the shares add up to `posts`."""
+    total = sum(weights.values())
+    return {agent: posts * weight / total for agent, weight in weights.items()}
 
 
 def place_posts(
@@ -33,61 +32,63 @@
     weights: Mapping[int, float],
     held: Mapping[str, int],
     barred: Bars = lambda post, agent: False,
-    others: int = 0,
+    unmovable: int = 0,
 ) -> dict[str, int]:
-    """The agent of each post, where any may take it. `held` names the present ones, `weights` those that may hold.
+    """Assigns each post to an agent; omits posts that no agent may take.
 
-    `others` are posts that cannot be moved now, and will be: shares are reckoned with them, so that nothing moves
-    for them twice.
+    `held` has the present holders, `weights` the agents that may hold posts. `unmovable` is the number of further
+    posts that can't move yet but will later: shares count them, so that no post moves twice because of them.
     """
     if not weights:
         return {}
-    share = shares(len(posts) + others, weights)
-    most = {agent: math.ceil(part - 1e-9) for agent, part in share.items()}
-    least = {agent: math.floor(part + 1e-9) for agent, part in share.items()}
-    found: dict[str, int] = {}
+    share = shares(len(posts) + unmovable, weights)
+    max_load = {agent: math.ceil(part - 1e-9) for agent, part in share.items()}
+    min_load = {agent: math.floor(part + 1e-9) for agent, part in share.items()}
+    placement: dict[str, int] = {}
     loads: dict[int, list[str]] = {agent: [] for agent in weights}
-    homeless = []
+    unplaced = []
     for post in sorted(posts):
         agent = held.get(post)
-        if agent in loads and not barred(post, agent) and len(loads[agent]) < most[agent]:
-            found[post] = agent
+        if agent in loads and not barred(post, agent) and len(loads[agent]) < max_load[agent]:
+            placement[post] = agent
             loads[agent].append(post)
         else:
-            homeless.append(post)
-    for post in homeless:
-        able = [agent for agent in weights if not barred(post, agent)]
-        roomy = (
-            [a for a in able if len(loads[a]) < least[a]] or [a for a in able if len(loads[a]) < most[a]] or able
+            unplaced.append(post)
+    for post in unplaced:
+        eligible = [agent for agent in weights if not barred(post, agent)]
+        candidates = (
+            [a for a in eligible if len(loads[a]) < min_load[a]]
+            or [a for a in eligible if len(loads[a]) < max_load[a]]
+            or eligible
         )
-        if roomy:
-            agent = min(roomy, key=lambda a: (score(post, a, weights[a]), a))
-            found[post] = agent
+        if candidates:
+            agent = min(candidates, key=lambda a: (score(post, a, weights[a]), a))
+            placement[post] = agent
             loads[agent].append(post)
-    _level(found, loads, least, weights, barred)
-    return found
+    _rebalance(placement, loads, min_load, weights, barred)
+    return placement
 
 
-def _level(
-    found: dict[str, int],
+def _rebalance(
+    placement: dict[str, int],
     loads: dict[int, list[str]],
-    least: Mapping[int, int],
+    min_load: Mapping[int, int],
     weights: Mapping[int, float],
     barred: Bars,
 ) -> None:
-    """Fill each agent up to its share rounded down, from those that are furthest over theirs."""
+    """Fills each agent up to its share rounded down with posts of the agents that exceed theirs the most."""
     for agent in sorted(weights):
-        while len(loads[agent]) < least[agent]:
-            rich = [a for a in weights if len(loads[a]) > least[a]]
+        while len(loads[agent]) < min_load[agent]:
+            overloaded = [a for a in weights if len(loads[a]) > min_load[a]]
             moves = [
-                (least[a] - len(loads[a]), score(post, agent, weights[agent]), post, a)
-                for a in rich
+                (min_load[a] - len(loads[a]), score(post, agent, weights[agent]), post, a)
+                for a in overloaded
                 for post in loads[a]
                 if not barred(post, agent)
             ]
             if not moves:
                 break
-            _, _, post, giver = min(moves)
-            loads[giver].remove(post)
+            _, _, post, source = min(moves)
+            loads[source].remove(post)
             loads[agent].append(post)
-            found[post] = agent
+            placement[post] = agent
--- a/otterquay/duties/posts/records.py
+++ b/otterquay/duties/posts/records.py
@@ -1,6 +1,6 @@
-"""The posts as the group's log makes them: who holds which under what token, and what was told of it.
+"""Replicated records of the posts: the holder and token of each, and the newest report about it.
 
-As everywhere in the log's state, nothing here depends on a clock: that a holder is late is the leader's to say.
+Like all state made by the log, nothing here depends on a clock; the leader decides whether a holder is late.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Placed(msgspec.Struct, array_like=True, frozen=True):
-    """A post goes to an agent in that life; nobody holds it with `agent` None."""
+    """Assigns a post to one incarnation of an agent, or to nobody if `agent` is None."""
 
     post: PostName
     agent: Agent | None
@@ -27,32 +27,33 @@
 
 
 class Assign(msgspec.Struct, tag="assign", array_like=True, frozen=True):
-    """The leader's word: these posts change hands, each under a token of its own."""
+    """Reassigns posts, each under a new token; proposed by the leader only."""
 
     moves: Annotated[list[Placed], Meta(max_length=MAX_MOVES)]
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """What a holder saw of its site and kind: servers alive, on order, and brought by all orders so far; the yard's
-    version of the site.
+    """A holder's observation of its site and kind.
+
+    Servers alive, on order, and delivered by all orders so far, and the yard's version of the site.
     """
 
     post: PostName
     token: Token
     version: Number
     alive: Number
-    coming: Number
-    brought: Number
+    on_order: Number
+    delivered: Number
 
 
 class Looked(msgspec.Struct, tag="looked", array_like=True, frozen=True):
-    """An agent's reports on the posts that it holds, as many as it has news of."""
+    """An agent's reports on those of its posts that have changed or need a refresh."""
 
     reports: Annotated[list[Report], Meta(max_length=MAX_MOVES)]
 
 
 class Post(msgspec.Struct, array_like=True):
-    """One post. `told` counts reports taken since it last changed hands; the figures are of the newest."""
+    """One post. `report_count` counts reports accepted since its last assignment; the figures are the newest."""
 
     token: Token = NONE
     owner: Agent | None = None
@@ -60,25 +61,23 @@
     report_count: int = 0
     version: int = 0
     alive: int = 0
-    coming: int = 0
-    brought: int = 0
+    on_order: int = 0
+    delivered: int = 0
 
 
 class Posts(msgspec.Struct, array_like=True):
-    """All of them by name, the highest version of each site that any holder has told, and how often posts changed
-    hands.
-    """
+    """All posts by name, the highest reported version of each site, and the number of assignments applied."""
 
     posts: dict[PostName, Post] = {}
     versions: dict[Name, int] = {}
     assigned: int = 0
 
     def assign(self, moves: list[Placed], token: Callable[[], Token]) -> list[tuple[str, Token]]:
-        """Each move in turn; a name that is none of a post, or one over the bound, is passed over.
+        """Applies the moves in order; returns the posts that now have a holder, with their tokens.
 
-        The posts that have a holder now, with their tokens.
+        Skips a name that is not a post's, and a new post over the limit.
         """
-        given = []
+        granted = []
         self.assigned += 1
         for move in moves:
             try:
@@ -93,11 +92,11 @@
             post.owner, post.incarnation, post.report_count = move.agent, move.incarnation, 0
             if move.agent is not None:
                 post.token = token()
-                given.append((move.post, post.token))
-        return given
+                granted.append((move.post, post.token))
+        return granted
 
     def record_reports(self, agent: int, incarnation: int, reports: list[Report]) -> int:
-        """Take what was told under the newest tokens; how many reports were refused."""
+        """Records the reports made under the posts' newest tokens; returns how many were refused."""
         refused = 0
         for report in reports:
             post = self.posts.get(report.post)
@@ -107,7 +106,7 @@
             post.report_count += 1
             if report.version >= post.version:
                 post.version, post.alive = report.version, report.alive
-                post.coming, post.brought = report.coming, report.brought
+                post.on_order, post.delivered = report.on_order, report.delivered
             site, _ = site_and_kind(report.post)
             self.versions[site] = max(self.versions.get(site, 0), report.version)
         return refused
--- a/otterquay/duties/state.py
+++ b/otterquay/duties/state.py
@@ -1,10 +1,10 @@
-"""The state that the group's log makes: owners and tokens, orders, allowances, journals taken, the fleet's table.
+"""The replicated state machine: owners and tokens, orders, allowances, recorded journals, the fleet's table.
 
-Every command is judged here by tokens and by what has been done before, never by a clock: when a lease runs out is
-the leader's to say (`Expire`), and that it was renewed meanwhile is seen by the count of renewals.
+Every command is validated here by tokens and by what was applied before, never by a clock. The leader decides
+when a lease has expired (`Expire`); a renewal in the meantime is detected by the count of renewals.
 
-The bound on servers: orders of the group and all that sites may still spend never pass `bound` together. What
-a site was handed is counted as gone from the day it was handed over, so it holds whoever can hear whom.
+The bound on servers: the group's orders and what sites may still spend never exceed `bound` together. An allowance
+counts as used from the moment it is granted to a site, so the bound holds under any network partition.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from otterquay.duties.posts.records import Assign, Looked, Posts
 from otterquay.duties.token import CAPACITY, NONE, Token, duty_of, site_of
 
-OPEN_MOST = 64  # open orders of one duty
-CLOSED_KEPT = 4096  # ids of closed orders that are remembered by name; older ones count in `running` alone
-AGENTS_MOST = 4096
-CAPS_MOST = 256
-KINDS_MOST = 256
-JOURNALS_MOST = 64  # closed journals of a site kept by name between two grants
+MAX_OPEN_ORDERS = 64  # per site
+MAX_CLOSED_IDS = 4096  # remembered ids of closed orders; older orders count in `running` alone
+MAX_AGENTS = 4096
+MAX_CAPS = 256
+MAX_KINDS = 256
+MAX_CLOSED_JOURNALS = 64  # remembered closed journals of a site between two grants
 
 
 class OrderState(msgspec.Struct, array_like=True):
-    """One order: what was asked, what has started, and under whose token it was written."""
+    """One order: what was requested, how many have started, and the token under which it was recorded."""
 
     site: str
     kind: str
@@ -39,7 +39,7 @@
 
 
 class DutyState(msgspec.Struct, array_like=True):
-    """One duty: its owner, if any, and the last token granted."""
+    """One duty: its owner, if any, and the newest token granted."""
 
     token: Token = NONE
     owner: int | None = None
@@ -48,22 +48,22 @@
 
 
 class SiteState(msgspec.Struct, array_like=True):
-    """One site's allowance (both numbers only rise), and the coordinators whose journals are taken.
+    """One site's allowance (`granted` and `spent` only increase), and the coordinators whose journals are recorded.
 
-    `spent` is what the group can account for: orders that it was told of, and at a settlement with the yard what a
-    majority of the site's agents say was reserved. All else of `granted` may still be ordered by the site. It never
-    passes what a majority of the site's agents have written down as spent: only orders that were sent are told, and
-    what a settlement has counted is not counted again when its journal comes late.
+    `spent` is what the group can account for: orders reported to it and, after a settlement with the yard, what a
+    majority of the site's agents report as reserved. The rest of `granted` may still be ordered by the site.
+    `spent` never exceeds what a majority of the site's agents have stored as spent: only orders that were sent
+    are reported, and what a settlement has counted is not counted again when its journal arrives late.
     """
 
     granted: int = 0
     spent: int = 0
-    floor: Token = NONE  # of the last settlement: what coordinators before it did is accounted for
-    closed: list[Token] = []  # and these beyond it
+    floor: Token = NONE  # of the last settlement; everything that earlier coordinators did is accounted for
+    closed: list[Token] = []  # later coordinators whose journals are recorded completely
 
 
 class AgentState(msgspec.Struct, array_like=True):
-    """The newest life of an agent, its last proposal and what came of it."""
+    """An agent's newest incarnation, its last proposal and the result."""
 
     incarnation: int
     number: int
@@ -71,35 +71,35 @@
 
 
 class GroupState(msgspec.Struct, array_like=True):
-    """All of it."""
+    """The whole replicated state, apart from the ids of closed orders."""
 
     bound: int
     tokens: int = 0
     duties: dict[str, DutyState] = {}
     sites: dict[str, SiteState] = {}
     orders: dict[str, OrderState] = {}
-    running: dict[str, dict[str, int]] = {}  # servers by site and kind: started less retired
-    ended: dict[str, dict[str, int]] = {}  # of those, how many the yard says have ended by themselves
+    running: dict[str, dict[str, int]] = {}  # servers by site and kind: started minus retired
+    ended: dict[str, dict[str, int]] = {}  # of those, how many ended by themselves according to the yard
     agents: dict[int, AgentState] = {}
-    joined: list[int] = []  # agents that were ever here
+    joined: list[int] = []  # agents that have ever joined
     caps: dict[int, float] = {}
     table: bytes = b""
     table_version: int = 0
     table_token: Token = NONE
-    acts: int = 0  # of coordinators, taken
+    acts: int = 0  # recorded acts of coordinators
     spread: Posts = msgspec.field(default_factory=Posts)
 
 
 class Duties:
-    """The machine behind the log."""
+    """The state machine that applies the group's log."""
 
     def __init__(self, sites: list[str], bound: int) -> None:
         self.sites, self.bound = sites, bound
-        self.group_state = self._fresh()
-        self.closed: dict[str, None] = {}  # ids of closed orders, the oldest first
-        self.watch: Callable[[cm.Proposal, cm.Result], None] = lambda proposal, result: None
+        self.group_state = self._initial_state()
+        self.closed: dict[str, None] = {}  # ids of closed orders, oldest first
+        self.on_applied: Callable[[cm.Proposal, cm.Result], None] = lambda proposal, result: None
 
-    def _fresh(self) -> GroupState:
+    def _initial_state(self) -> GroupState:
         return GroupState(
             self.bound,
             duties={CAPACITY: DutyState(), **{duty_of(s): DutyState() for s in self.sites}},
@@ -110,20 +110,20 @@
 
     # --- snapshots ---
     def dump(self) -> bytes:
-        """All of it as bytes."""
+        """Encodes the whole state for a snapshot."""
         return msgspec.msgpack.encode((self.group_state, list(self.closed)))
 
     def load(self, state: bytes) -> None:
-        """Put in place what `dump` gave."""
-        found: tuple[GroupState, list[str]] = msgspec.msgpack.decode(state, type=tuple[GroupState, list[str]])
-        self.group_state, self.closed = found[0], dict.fromkeys(found[1])
+        """Replaces the state by one that `dump` encoded."""
+        decoded: tuple[GroupState, list[str]] = msgspec.msgpack.decode(state, type=tuple[GroupState, list[str]])
+        self.group_state, self.closed = decoded[0], dict.fromkeys(decoded[1])
 
     # --- commands ---
     def apply(self, index: int, data: bytes) -> cm.Result:
-        """One command of the log; a repeated proposal gets its first result again."""
+        """Applies one command of the log; a repeated proposal gets its first result again."""
         try:
             proposal = cm.decode(data)
-        except msgspec.MsgspecError as error:  # written by a later version: every member refuses it alike
+        except msgspec.MsgspecError as error:  # from a later version: every member of this version refuses it alike
             return cm.Result(False, f"not understood: {error}"[:200])
         agent = self.group_state.agents.get(proposal.agent)
         if (
@@ -134,14 +134,14 @@
             return cm.Result(False, "an earlier life", token=Token(agent.incarnation))
         if agent and proposal.incarnation == agent.incarnation and proposal.number <= agent.number:
             return agent.result if proposal.number == agent.number else cm.Result(False, "done before")
-        if agent is None and len(self.group_state.agents) >= AGENTS_MOST:
+        if agent is None and len(self.group_state.agents) >= MAX_AGENTS:
             return cm.Result(False, "too many agents")
-        result = self._do(proposal, proposal.command)
+        result = self._dispatch(proposal, proposal.command)
         self.group_state.agents[proposal.agent] = AgentState(proposal.incarnation, proposal.number, result)
-        self.watch(proposal, result)
+        self.on_applied(proposal, result)
         return result
 
-    def _do(self, by: cm.Proposal, command: cm.Command) -> cm.Result:
+    def _dispatch(self, by: cm.Proposal, command: cm.Command) -> cm.Result:
         match command:
             case cm.Join():
                 return self._join(by, command)
@@ -160,10 +160,10 @@
                 duty.owner = None
                 return cm.Result(True)
             case cm.Expire():
-                found = self.group_state.duties.get(command.duty)
-                if not found or found.token != command.token or found.renewals != command.renewals:
+                expired = self.group_state.duties.get(command.duty)
+                if not expired or expired.token != command.token or expired.renewals != command.renewals:
                     return cm.Result(False, "renewed meanwhile")
-                found.owner = None
+                expired.owner = None
                 return cm.Result(True)
             case cm.Order():
                 return self._order(by, command)
@@ -185,14 +185,16 @@
                     return refused
                 return self._cap(command.build, command.cap)
             case Assign():
-                given = self.group_state.spread.assign(command.moves, self._next)
-                return cm.Result(True, token=given[0][1] if given else NONE)  # the others follow, one by one
+                granted = self.group_state.spread.assign(command.moves, self._next_token)
+                return cm.Result(True, token=granted[0][1] if granted else NONE)  # the others are consecutive
             case Looked():
-                older = self.group_state.spread.record_reports(by.agent, by.incarnation, command.reports)
-                return cm.Result(not older, f"{older} of {len(command.reports)} refused" if older else "")
+                refused_count = self.group_state.spread.record_reports(by.agent, by.incarnation, command.reports)
+                return cm.Result(
+                    not refused_count, f"{refused_count} of {len(command.reports)} refused" if refused_count else ""
+                )
 
     def _owned(self, name: str, token: Token, by: cm.Proposal | None) -> tuple[DutyState | None, cm.Result]:
-        """The duty, where this token is the newest and its owner asks; else why not."""
+        """The duty if the token is its newest one and its owner made the proposal; else None and the refusal."""
         duty = self.group_state.duties.get(name)
         if duty is None:
             return None, cm.Result(False, f"no duty {name}"[:200])
@@ -203,7 +205,10 @@
         return duty, cm.Result(True)
 
     def _join(self, by: cm.Proposal, join: cm.Join) -> cm.Result:
-        """Once "new", from then on "known", with the newest token under which it may have promised something."""
+        """Answers "new" the first time and "known" from then on, with the site's newest token.
+
+        The agent may have given promises in its site under tokens up to that one.
+        """
         duty = self.group_state.duties.get(duty_of(join.site))
         if duty is None:
             return cm.Result(False, "no such site")
@@ -218,17 +223,17 @@
             return cm.Result(False, f"no duty {claim.duty}"[:200])
         if duty.owner is not None:
             return cm.Result(False, f"owned by {duty.owner}")
-        duty.token, duty.owner, duty.incarnation = self._next(), by.agent, by.incarnation
+        duty.token, duty.owner, duty.incarnation = self._next_token(), by.agent, by.incarnation
         duty.renewals += 1
         return cm.Result(True, token=duty.token)
 
-    def _next(self) -> Token:
+    def _next_token(self) -> Token:
         self.group_state.tokens += 1
         return Token(self.group_state.tokens)
 
     # --- servers ---
     def committed_servers(self) -> int:
-        """Servers that run or may still be started: orders, and what sites may still spend."""
+        """Servers that run or may still be started by orders or out of the sites' allowances."""
         return (
             sum(self.alive(site, kind) for site, kinds in self.group_state.running.items() for kind in kinds)
             + sum(max(o.count, 0) for o in self.group_state.orders.values())
@@ -245,7 +250,7 @@
         if duty is None or site is None:
             return refused if duty is None else cm.Result(False, "this duty has no servers")
         kinds = self.group_state.ended[site]
-        if ended.kind not in kinds and len(kinds) >= KINDS_MOST:
+        if ended.kind not in kinds and len(kinds) >= MAX_KINDS:
             return cm.Result(False, "too many kinds")
         kinds[ended.kind] = max(ended.total, kinds.get(ended.kind, 0))
         return cm.Result(True)
@@ -257,11 +262,11 @@
             return refused if duty is None else cm.Result(False, "this duty orders nothing")
         if order.id in self.group_state.orders or order.id in self.closed:
             return cm.Result(True, "ordered before")
-        if sum(o.open and o.site == site for o in self.group_state.orders.values()) >= OPEN_MOST:
+        if sum(o.open and o.site == site for o in self.group_state.orders.values()) >= MAX_OPEN_ORDERS:
             return cm.Result(False, "too many open orders")
         if order.count == 0 or (order.count < 0 and self.alive(site, order.kind) < -order.count):
             return cm.Result(False, "not so many run")
-        if order.kind not in self.group_state.running[site] and len(self.group_state.running[site]) >= KINDS_MOST:
+        if order.kind not in self.group_state.running[site] and len(self.group_state.running[site]) >= MAX_KINDS:
             return cm.Result(False, "too many kinds")
         if order.count > 0 and self.committed_servers() + order.count > self.group_state.bound:
             return cm.Result(False, f"over the bound of {self.group_state.bound}")
@@ -285,11 +290,11 @@
         kinds = self.group_state.running[order.site]
         kinds[order.kind] = max(kinds.get(order.kind, 0) + started, 0)
         del self.group_state.orders[name]
-        self._remember(name)
+        self._remember_closed(name)
 
-    def _remember(self, name: str) -> None:
+    def _remember_closed(self, name: str) -> None:
         self.closed[name] = None
-        while len(self.closed) > CLOSED_KEPT:
+        while len(self.closed) > MAX_CLOSED_IDS:
             del self.closed[next(iter(self.closed))]
 
     def _allot(self, by: cm.Proposal, allot: cm.Allot) -> cm.Result:
@@ -304,14 +309,14 @@
         site.granted = allot.total
         return cm.Result(True)
 
-    # --- what sites did while they were cut off ---
+    # --- acts of sites during a partition ---
     def _record_acts(self, site: str, token: Token, acts: list[cm.Act]) -> None:
-        """Each act once, whoever tells it, in whatever pieces: what it started leaves the site's allowance."""
+        """Records each act once, whoever reports it and in whatever parts; charges it to the site's allowance."""
         state = self.group_state.sites[site]
         for act in acts:
-            if act.what == "cap":  # it held within the site, for the cut alone
+            if act.what == "cap":  # it applied within the site only, for the partition's duration
                 self.group_state.acts += act.id not in self.closed
-                self._remember(act.id)
+                self._remember_closed(act.id)
                 continue
             known = self.group_state.orders.get(act.id)
             if known is None and act.id not in self.closed:
@@ -333,10 +338,10 @@
 
     def _close_journal(self, site: SiteState, token: Token) -> None:
         if token > site.floor and token not in site.closed:
-            site.closed = [*site.closed[-JOURNALS_MOST:], token]
+            site.closed = [*site.closed[-MAX_CLOSED_JOURNALS:], token]
 
     def _found(self, by: cm.Proposal, found: cm.Found) -> cm.Result:
-        """The yard refuses all older tokens by now, so what its list has not, will not come."""
+        """Records a settlement: the yard refuses all older tokens by now, so no order off its list can start."""
         site = site_of(found.duty)
         if site is None:
             return cm.Result(False, "this duty has no site")
@@ -351,11 +356,11 @@
         return cm.Result(True, token=found.token)
 
     def open_journals(self, site: str, followed: Iterable[Token]) -> list[Token]:
-        """Of coordinators that agents of a site say they followed, those whose journals are not taken."""
+        """Coordinators that a site's agents report to have followed and whose journals are not recorded yet."""
         state = self.group_state.sites[site]
         return sorted(t for t in set(followed) if t > state.floor and t not in state.closed)
 
-    # --- the rest ---
+    # --- table and caps ---
     def _publish(self, by: cm.Proposal, publish: cm.Publish) -> cm.Result:
         duty, refused = self._owned(CAPACITY, publish.token, by)
         if duty is None:
@@ -369,10 +374,10 @@
     def _cap(self, build: int, cap: float) -> cm.Result:
         caps = self.group_state.caps
         caps[build] = min(cap, caps.get(build, 1.0))
-        while len(caps) > CAPS_MOST:
-            del caps[min(caps)]  # the oldest build: long released or gone
+        while len(caps) > MAX_CAPS:
+            del caps[min(caps)]  # the oldest build, released or withdrawn long ago
         return cm.Result(True)
 
     def digest(self) -> Any:
-        """What operators and tests compare."""
+        """The state as plain values, to be compared by operators and tests."""
         return msgspec.to_builtins(self.group_state)
--- a/otterquay/duties/yard_orders.py
+++ b/otterquay/duties/yard_orders.py
@@ -1,4 +1,4 @@
-"""Requests to the yard, and one order carried there until it is done: asked again under one id, never under two."""
+"""Requests to the yard, and the state of one order until it is complete: retries always use the order's one id."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """One HTTP request: `key` goes as Idempotency-Key, `match` as If-Match; the token always goes along."""
+    """One HTTP request. `key` is sent as Idempotency-Key, `match` as If-Match; the token is always sent."""
 
     method: Literal["GET", "POST", "PUT", "DELETE"]
     path: str
@@ -24,7 +24,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """Its answer; status 0 for none: it may have taken effect or not."""
+    """The answer to a request; status 0 means that none came, so the request may have taken effect or not."""
 
     status: int
     etag: str = ""
@@ -32,7 +32,7 @@
 
 
 class YardOrder(msgspec.Struct, frozen=True):
-    """An order as the yard has it."""
+    """An order as the yard reports it."""
 
     id: Name
     kind: Name
@@ -43,7 +43,7 @@
 
 
 class SiteListing(msgspec.Struct, frozen=True):
-    """A site as the yard has it: orders, servers that ended by themselves, the newest token seen."""
+    """A site as the yard reports it: orders, servers alive, servers ended by themselves, the newest token seen."""
 
     orders: Annotated[list[YardOrder], Meta(max_length=4096)]
     alive: dict[str, int]
@@ -52,7 +52,7 @@
 
 
 class OrderBody(msgspec.Struct, frozen=True):
-    """The body of an order."""
+    """The request body that places an order."""
 
     kind: Name
     count: int
@@ -60,21 +60,21 @@
 
 STATUS_STALE_TOKEN, STATUS_CHANGED = 409, 412
 RETRY_DELAY_S, ANSWER_TIMEOUT_S = 0.4, 3.0
-MAX_ATTEMPTS = 6  # with the yard answering and starting only a part: then the rest is cancelled
+MAX_ATTEMPTS = 6  # answered attempts that start only a part of an order before the rest is cancelled
 
 
 @dataclass(slots=True)
 class PendingOrder:
-    """One order on its way. `step` gives the next request, `answer` what came of it."""
+    """One order that is not yet complete. `step` returns the next request, `answer` handles its answer."""
 
     site: str
     id: str
     kind: str
     count: int
     token: Token
-    tries: int = 0
+    attempts: int = 0
     next_at: float = 0.0
-    out: bool = False
+    in_flight: bool = False
     started: int = 0
     final: bool = False
     stale: bool = False
@@ -82,10 +82,10 @@
     etag: str = ""
 
     def step(self, now: float) -> Request | None:
-        """A request to be sent now."""
-        if self.final or self.stale or self.out or now < self.next_at:
+        """Returns the request to send now, if any."""
+        if self.final or self.stale or self.in_flight or now < self.next_at:
             return None
-        self.out, self.next_at = True, now + ANSWER_TIMEOUT_S
+        self.in_flight, self.next_at = True, now + ANSWER_TIMEOUT_S
         path = f"/sites/{self.site}/orders"
         if self.cancel:
             return Request("DELETE", f"{path}/{self.id}", self.token, self.id, self.etag)
@@ -94,26 +94,26 @@
         )
 
     def overdue(self, now: float) -> None:
-        """No answer came: it may have been done, so it is asked again under the same id."""
-        if self.out and now >= self.next_at:
-            self.out = False
+        """Lets a request be retried whose answer is overdue; it may have taken effect, so the id stays the same."""
+        if self.in_flight and now >= self.next_at:
+            self.in_flight = False
 
     def answer(self, now: float, answer: Answer) -> None:
-        """The yard's answer."""
-        self.out, self.next_at = False, now + RETRY_DELAY_S
+        """Handles the yard's answer."""
+        self.in_flight, self.next_at = False, now + RETRY_DELAY_S
         if answer.status == STATUS_STALE_TOKEN:
             self.stale = True
         elif answer.status == STATUS_CHANGED:
-            self.cancel, self.tries = False, MAX_ATTEMPTS - 1  # it has gone on meanwhile: look again
+            self.cancel, self.attempts = False, MAX_ATTEMPTS - 1  # the order has changed: read it again
         elif answer.status in (200, 201, 202):
             try:
                 found: YardOrder = msgspec.json.decode(answer.body, type=YardOrder)
             except msgspec.MsgspecError:
-                return  # spoilt: asked again
+                return  # malformed: retried
             if found.id != self.id:
                 return
             self.started, self.etag = found.started, answer.etag
             self.final = found.cancelled or abs(found.started) >= abs(self.count)
-            self.tries += 1
-            if not self.final and self.tries >= MAX_ATTEMPTS:
+            self.attempts += 1
+            if not self.final and self.attempts >= MAX_ATTEMPTS:
                 self.cancel = True
--- a/tests/fleet/test_placing.py
+++ b/tests/fleet/test_placing.py
@@ -75,7 +75,7 @@
     stuck = {p for p in POSTS if before[p] == 6}
     rest = [p for p in POSTS if p not in stuck]
     held = {p: before[p] for p in rest}
-    assert place_posts(rest, even(range(6)), held, others=len(stuck)) == held
+    assert place_posts(rest, even(range(6)), held, unmovable=len(stuck)) == held
 
 
 def test_names() -> None:
--- a/tests/fleet/test_posts.py
+++ b/tests/fleet/test_posts.py
@@ -13,7 +13,7 @@
 from otterquay.duties.posts.holder import MAX_SENT_STATUSES, Holder
 from otterquay.duties.posts.names import MAX_POSTS
 from otterquay.duties.posts.observer import SiteObserver
-from otterquay.duties.posts.progress import STUCK, Progress
+from otterquay.duties.posts.progress import STALLED_ORDER_FACTOR, Progress
 from otterquay.duties.posts.records import Assign, Looked, Placed, Posts, Report
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
@@ -235,11 +235,11 @@
     state, progress = Posts(), Progress(6.0)
     state.assign([Placed(f"look/{s}/a", 1, 1) for s in names], lambda: Token(1))
     for post in state.posts.values():
-        post.report_count, post.alive, post.coming = told, alive, coming
+        post.report_count, post.alive, post.on_order = told, alive, coming
     found: list[tuple[str, str]] = []
     for i in range(round(seconds)):
         for post in state.posts.values():
-            post.brought = i * brings // 4
+            post.delivered = i * brings // 4
         found = progress.sites(float(i), state, {s: {"a": 3} for s in names}, {s: (5, 9) for s in names}, room)
     return [site for site, _ in found]
 
@@ -251,7 +251,7 @@
     assert shortage(9, 1, 0, 0) == [], "the bound leaves no room: it may not order"
     assert shortage(40, 1, 0, 5, brings=1) == [], "servers come, and end as fast"
     assert shortage(9, 1, 0, 5, told=0) == [], "nobody has looked"
-    assert shortage(round(STUCK * 6) + 3, 1, 2, 5) == ["s0"], "an order that does not move"
+    assert shortage(round(STALLED_ORDER_FACTOR * 6) + 3, 1, 2, 5) == ["s0"], "an order that does not move"
     assert shortage(9, 1, 0, 5, sites=6) == [], "all sites at once: the yard"
 
 
@@ -264,7 +264,7 @@
     )
     assert posts.record_reports(4, 8, [report]) == 1 == posts.record_reports(5, 9, [report])
     found = posts.posts[A]
-    assert (found.report_count, found.version, found.alive, found.coming, found.brought) == (1, 3, 2, 1, 5)
+    assert (found.report_count, found.version, found.alive, found.on_order, found.delivered) == (1, 3, 2, 1, 5)
     assert posts.versions == {"north": 3}
     posts.record_reports(4, 9, [Report(A, Token(7), 2, 8, 8, 8)])
     assert (found.report_count, found.alive) == (2, 2), "an older list of the yard's is no news"
@@ -343,7 +343,7 @@
     bench.step(0.0, held)
     assert len(bench.asked) == 2, "one look for each site"
     bench.asked.pop(0)
-    bench.asked.append(bench.work._listed("north"))
+    bench.asked.append(bench.work._on_listing("north"))
     bench.answer(0.1, 4, 2)
     bench.step(0.2, held, idle=False)
     assert not bench.told
@@ -351,7 +351,7 @@
     assert bench.told == [[Report(A, Token(1), 4, 2, 3, 2), Report(B, Token(2), 4, 0, 0, 0)]]
     for now, version, alive, told in ((1.2, 4, 2, 1), (2.4, 5, 3, 2), (3.6, 5, 3, 2), (6.0, 5, 3, 3)):
         bench.asked.clear()
-        bench.asked.append(bench.work._listed("north"))
+        bench.asked.append(bench.work._on_listing("north"))
         bench.answer(now, version, alive)
         bench.step(now, held)
         assert len(bench.told) == told, "new, or not told for long"
@@ -373,10 +373,10 @@
     bench.step(0.2, {A: Token(9)})
     assert not bench.told, "another token: it was looked at under the old one"
     bench.result = cm.Result(False, "1 of 1 refused")
-    bench.asked.append(bench.work._listed("north"))
+    bench.asked.append(bench.work._on_listing("north"))
     bench.answer(1.5, 4, 2)
     bench.step(1.6, {A: Token(9)})
-    assert bench.told[-1][0].token == Token(9) and not bench.work.told
+    assert bench.told[-1][0].token == Token(9) and not bench.work.reported
 
 
 def test_a_holder_that_is_heard_again_is_not_told_of_a_post_that_is_on_its_way_to_another() -> None:
