--- a/tests/fleet/test_group.py
+++ b/tests/fleet/test_group.py
@@ -1,4 +1,4 @@
-"""Raft's member by hand: what it may count, what it must not forget, what it refuses."""
+"""A single Raft member driven by hand: vote and commit counting, persistence, and refused messages."""
 
 from __future__ import annotations
 
@@ -15,58 +15,58 @@
 from otterquay.group.parts import Role, Sizes, Times
 
 
-class Tape:
-    """A machine that writes down what it is told."""
+class RecordingMachine:
+    """A state machine that records the applied commands."""
 
     def __init__(self) -> None:
-        self.told: list[bytes] = []
+        self.applied: list[bytes] = []
 
     def apply(self, index: int, data: bytes) -> object:
-        self.told.append(data)
+        self.applied.append(data)
         return index
 
     def dump(self) -> bytes:
-        return b"|".join(self.told)
+        return b"|".join(self.applied)
 
     def load(self, state: bytes) -> None:
-        self.told = state.split(b"|") if state else []
+        self.applied = state.split(b"|") if state else []
 
 
-def member(me: int = 0, count: int = 3, **more: Any) -> tuple[Member, Tape]:
+def member(me: int = 0, count: int = 3, **more: Any) -> tuple[Member, RecordingMachine]:
     members = tuple(range(count))
     joining = Joining(me, members, Identity(1, 1, True), 7, {}, welcomed=set(members) - {me})
-    tape = Tape()
-    one = Member(me, members, tape, Log(), joining, random.Random(1), Times(), **more)
+    machine = RecordingMachine()
+    one = Member(me, members, machine, Log(), joining, random.Random(1), Times(), **more)
     one.start(0.0, None)
-    return one, tape
+    return one, machine
 
 
-def lasting(one: Member, now: float, out: Effects) -> Effects:
-    """The step's writes have come to last."""
-    for told in out.on_durable:
-        told(now)
+def make_durable(one: Member, now: float, out: Effects) -> Effects:
+    """Makes the step's writes durable; returns the effects that follow."""
+    for callback in out.on_durable:
+        callback(now)
     after = Effects()
     one.handle_durable(now, after)
     return after
 
 
-def led(count: int = 3) -> tuple[Member, Tape]:
-    """A member that leads in term 1."""
-    one, tape = member(count=count)
+def elected_leader(count: int = 3) -> tuple[Member, RecordingMachine]:
+    """A member that is the leader of term 1."""
+    one, machine = member(count=count)
     out = Effects()
     one.tick(5.0, out)
     one.receive(5.0, 1, ms.PreVoted(1, True, 0), out)
     one.receive(5.0, 1, ms.Voted(1, True), out)
-    lasting(one, 5.0, out)
+    make_durable(one, 5.0, out)
     assert one.role is Role.LEADER
-    return one, tape
+    return one, machine
 
 
 def sent(out: Effects, kind: type) -> list[Any]:
     return [s.message for s in out.sends if isinstance(s.message, kind)]
 
 
-def test_nobody_is_asked_for_a_vote_in_a_term_before_a_majority_would_give_it() -> None:
+def test_an_election_starts_only_after_a_majority_of_prevotes() -> None:
     one, _ = member()
     out = Effects()
     one.tick(5.0, out)
@@ -75,7 +75,7 @@
     assert one.role is Role.CANDIDATE and one.term == 1 and len(sent(out, ms.Vote)) == 2 and out.writes
 
 
-def test_a_vote_is_written_before_it_is_told_and_given_once_a_term() -> None:
+def test_a_vote_is_persisted_and_given_once_per_term() -> None:
     one, _ = member()
     out = Effects()
     one.receive(5.0, 1, ms.Vote(3, 0, 0), out)
@@ -88,10 +88,10 @@
     other.start(0.0, kept)
     back = Effects()
     other.receive(5.0, 2, ms.Vote(3, 0, 0), back)
-    assert sent(back, ms.Voted) == [ms.Voted(3, False)], "the vote outlasts a restart"
+    assert sent(back, ms.Voted) == [ms.Voted(3, False)], "the vote survives a restart"
 
 
-def test_a_leader_that_is_heard_is_not_voted_out() -> None:
+def test_members_that_hear_a_leader_grant_no_votes() -> None:
     one, _ = member()
     one.receive(5.0, 1, ms.Append(2, 0, 0, [], 0, 1), Effects())
     out = Effects()
@@ -100,25 +100,25 @@
     assert sent(out, ms.PreVoted) == [ms.PreVoted(9, False, 2)] and not sent(out, ms.Voted) and one.term == 2
 
 
-def test_what_is_not_on_the_own_disk_yet_does_not_count_for_the_majority() -> None:
-    one, tape = led()
+def test_the_leaders_own_entry_counts_for_the_majority_only_once_durable() -> None:
+    one, machine = elected_leader()
     out = Effects()
     one.propose(5.1, b"a", out)
     one.flush(5.1, out)
     early = Effects()
     one.receive(5.2, 1, ms.Appended(1, True, 1, 1), early)
-    assert one.commit_index == 1, "the no-op, which lasts, is on two of three"
+    assert one.commit_index == 1, "the no-op is durable on two of three"
     one.receive(5.2, 2, ms.Appended(1, True, 1, 1), early)
-    assert one.commit_index == 1 and tape.told == []
+    assert one.commit_index == 1 and machine.applied == []
     one.receive(5.3, 1, ms.Appended(1, True, 2, 1), early)
-    assert one.commit_index == 1, "entry 2 is on one disk alone"
-    lasting(one, 5.4, out)
-    assert one.commit_index == 2 and tape.told == [b"a"]
+    assert one.commit_index == 1, "entry 2 is durable on one disk only"
+    make_durable(one, 5.4, out)
+    assert one.commit_index == 2 and machine.applied == [b"a"]
 
 
 def test_an_entry_of_an_earlier_term_is_committed_only_with_one_of_this_term() -> None:
-    """The paper's figure 8: a majority has it, and it may still be overwritten."""
-    one, tape = member(count=5)
+    """Figure 8 of the paper: an entry that a majority has may still be overwritten."""
+    one, machine = member(count=5)
     out = Effects()
     one.receive(1.0, 1, ms.Append(2, 0, 0, [ms.Entry(2, b"old")], 0, 1), out)
     one.tick(9.0, out)
@@ -127,16 +127,18 @@
     for voter in (1, 2):
         one.receive(9.0, voter, ms.Voted(3, True), out)
     assert one.role is Role.LEADER and one.term == 3
-    lasting(one, 9.0, out)
+    make_durable(one, 9.0, out)
     for voter in (1, 2):
         one.receive(9.1, voter, ms.Appended(3, True, 1, 1), Effects())
-    assert one.commit_index == 0 and tape.told == [], "entry 1 of term 2 is on three of five and not committed"
+    assert one.commit_index == 0 and machine.applied == [], (
+        "entry 1 of term 2 is on three of five members but not committed"
+    )
     for voter in (1, 2):
         one.receive(9.2, voter, ms.Appended(3, True, 2, 1), Effects())
-    assert one.commit_index == 2 and tape.told == [b"old"]
+    assert one.commit_index == 2 and machine.applied == [b"old"]
 
 
-def test_what_differs_from_the_leaders_log_goes_and_what_agrees_stays() -> None:
+def test_conflicting_entries_are_removed_and_matching_ones_stay() -> None:
     one, _ = member()
     one.receive(
         1.0, 1, ms.Append(1, 0, 0, [ms.Entry(1, b"a"), ms.Entry(1, b"b"), ms.Entry(1, b"c")], 1, 1), Effects()
@@ -146,33 +148,33 @@
     assert [e.data for e in one.log.entries] == [b"a", b"x"]
     late = Effects()
     one.receive(2.1, 2, ms.Append(2, 0, 0, [ms.Entry(1, b"a")], 1, 1), late)
-    assert [e.data for e in one.log.entries] == [b"a", b"x"], "a late, shorter message takes nothing away"
+    assert [e.data for e in one.log.entries] == [b"a", b"x"], "a late, shorter message removes nothing"
     gap = Effects()
     one.receive(2.2, 2, ms.Append(2, 7, 2, [ms.Entry(2, b"z")], 1, 1), gap)
     assert sent(gap, ms.Appended) == [ms.Appended(2, False, 2, 1)]
 
 
-def test_a_follower_that_is_far_behind_gets_the_state_and_goes_on_from_there() -> None:
-    one, tape = led()
+def test_a_follower_that_is_far_behind_gets_a_snapshot() -> None:
+    one, machine = elected_leader()
     for i in range(30):
         out = Effects()
         one.propose(6.0, b"%d" % i, out)
-        lasting(one, 6.0, out)
+        make_durable(one, 6.0, out)
     one.sizes = Sizes(snapshot_after=10)
     one.receive(6.0, 1, ms.Appended(1, True, 31, 1), Effects())
     assert one.log.base == 31 and one.log.entries == []
     out = Effects()
     one.receive(6.1, 2, ms.Appended(1, False, 0, 1), out)
     install = sent(out, ms.Install)[-1]
-    other, other_tape = member(2)
+    other, other_machine = member(2)
     back = Effects()
     other.receive(6.2, 0, install, back)
-    assert other_tape.told == tape.told and other.log.last == 31 and other.last_applied == 31
+    assert other_machine.applied == machine.applied and other.log.last == 31 and other.last_applied == 31
     assert sent(back, ms.Appended) == [ms.Appended(1, True, 31, install.round)]
 
 
-def test_a_read_waits_for_a_majority_to_say_that_this_is_still_the_leader() -> None:
-    one, _ = led()
+def test_a_read_waits_until_a_majority_confirms_the_leader() -> None:
+    one, _ = elected_leader()
     one.receive(5.1, 1, ms.Appended(1, True, 1, 1), Effects())
     done: list[float] = []
     assert one.read(5.2, lambda now, out: done.append(now), Effects())
@@ -185,22 +187,22 @@
 
 
 def test_a_leader_that_hears_no_majority_steps_down() -> None:
-    one, _ = led()
+    one, _ = elected_leader()
     out = Effects()
     one.tick(7.0, out)
     assert one.role is Role.FOLLOWER and [event for event, _ in out.log_lines] == ["leader_steps_down"]
     assert one.propose(7.0, b"a", Effects()) is None
 
 
-def test_more_than_may_wait_for_a_majority_is_not_taken() -> None:
-    one, _ = led()
+def test_proposals_over_the_limit_of_uncommitted_entries_are_rejected() -> None:
+    one, _ = elected_leader()
     one.sizes = Sizes(uncommitted=3)
     assert [one.propose(5.0, b"x", Effects()) for _ in range(4)] == [2, 3, None, None]
 
 
-# --- disks that have forgotten ---
-def joining(known: dict[int, Known] | None = None, founded: bool = True) -> Joining:
-    return Joining(0, (0, 1, 2), Identity(10, 4, founded), 99, known or {})
+# --- empty and outdated disks ---
+def joining(known: dict[int, Known] | None = None, known_to_all: bool = True) -> Joining:
+    return Joining(0, (0, 1, 2), Identity(10, 4, known_to_all), 99, known or {})
 
 
 @pytest.mark.parametrize(
@@ -212,35 +214,35 @@
         (ms.Hello(5, 2, 9, 2, 2), "an older copy"),
     ],
 )
-def test_a_start_is_welcomed_unless_its_disk_has_forgotten(hello: ms.Hello, reason: str) -> None:
+def test_a_start_is_welcomed_unless_its_disk_is_new_or_outdated(hello: ms.Hello, reason: str) -> None:
     one, out = joining({1: Known(5, 2, 8)}), Effects()
     one.hello(1, hello, out)
     (welcome,) = sent(out, ms.Welcome)
     assert welcome.reason.startswith(reason) and bool(welcome.reason) == bool(reason)
 
 
-def test_one_that_was_heard_further_on_is_an_older_copy() -> None:
+def test_a_start_behind_what_was_heard_from_the_member_is_an_older_copy() -> None:
     one, out = joining({1: Known(5, 2, 8)}), Effects()
     one.heard(1, 4, 20)
     one.hello(1, ms.Hello(5, 3, 11, 4, 12), out)
     assert "entry 12 after 4, 20" in sent(out, ms.Welcome)[0].reason
 
 
-def test_a_new_disk_takes_part_once_all_know_it_and_an_old_one_with_a_majority() -> None:
-    new, old = joining(founded=False), joining()
+def test_a_new_disk_needs_welcomes_of_all_members_and_a_known_one_of_a_majority() -> None:
+    new, old = joining(known_to_all=False), joining()
     for one in (new, old):
         one.welcome(1, ms.Welcome(99, ""), Effects())
     assert old.ready and not new.ready
     out = Effects()
     new.welcome(2, ms.Welcome(98, ""), out)
-    assert not new.ready, "an answer to another start"
+    assert not new.ready, "the answer to another start"
     new.welcome(2, ms.Welcome(99, ""), out)
     assert new.ready and out.writes
     old.welcome(2, ms.Welcome(99, "another disk"), Effects())
-    assert not old.ready, "one refusal is enough, also late"
+    assert not old.ready, "one refusal is enough, even a late one"
 
 
-def test_a_member_that_may_not_take_part_promises_nothing() -> None:
+def test_a_member_that_is_not_admitted_grants_and_acknowledges_nothing() -> None:
     one, _ = member()
     one.joining.welcomed.clear()
     out = Effects()
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -1,4 +1,4 @@
-"""An owner that is late, and a leader that is new: each with its guard, and without it."""
+"""Late orders of a former owner and grants by a new leader, each with its safeguard and without it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def running(seed: int) -> Sim:
-    """A fleet at rest."""
+    """A simulated fleet that has started and settled."""
     sim = Sim(PLAN, seed)
     for number in sim.hosts:
         sim.start(number)
@@ -41,9 +41,9 @@
         assert node is not None
 
         def slow_down(sim: Sim = sim, owner: int = owner) -> bool:
-            """Once the order is written down, what goes to the yard is on the way for long."""
-            asked = sim.hosts[owner].node
-            if asked is not None and asked.work is not None and asked.work.ordering.get("x"):
+            """Once the order is being recorded, delays the owner's requests to the yard."""
+            owner_node = sim.hosts[owner].node
+            if owner_node is not None and owner_node.work is not None and owner_node.work.ordering.get("x"):
                 sim.links.slow[owner, YARD] = 15.0
                 return True
             return False
@@ -53,15 +53,17 @@
         sim.stall(owner, True)
         sim.run(sim.now + 30.0)
         late = [e for e in sim.yard.tape if e.agent == owner and e.at > sim.now - 25.0]
-        assert late, "it arrived"
+        assert late, "the order arrived"
         if fencing:
             assert {e.what for e in late} == {"stale"} and not any(sim.judge.counts.values())
         else:
-            assert {e.what for e in late} == {"repeated"}, "let in; only its id keeps it from being done again"
+            assert {e.what for e in late} == {"repeated"}, (
+                "accepted; only its id keeps it from being executed again"
+            )
 
 
 def new_leader(seed: int) -> int:
-    """The leader is killed while an owner hears nobody but the yard."""
+    """Kills the leader while an owner can reach only the yard; returns the count of "two_owners"."""
     sim = running(seed)
     leader = sim.leader()
     assert leader is not None
@@ -99,7 +101,7 @@
     )
 
 
-def test_words_from_where_they_must_not_come_change_nothing() -> None:
+def test_messages_from_senders_that_may_not_send_them_change_nothing() -> None:
     from otterquay.duties import commands as cm
     from otterquay.duties import messages as dm
     from otterquay.duties.token import Token
@@ -138,16 +140,16 @@
     assert node.caps() == {}
 
 
-def test_an_owner_looks_at_the_yard_as_often_as_it_was_told() -> None:
-    """An answer once did not end the wait for one that is lost: every look took three seconds."""
+def test_an_owner_polls_the_yard_at_the_configured_interval() -> None:
+    """An answer once did not cancel the timeout for lost answers, so every poll took three seconds."""
     sim = Sim(replace(PLAN, pace=replace(PLAN.pace, yard=0.4)), 2)
     for number in sim.hosts:
         sim.start(number)
     assert sim.run(60.0, sim.rests)
     sim.yard.end("north", "x", 2)
-    begun = sim.now
+    started_at = sim.now
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("north").alive["x"] == 4)
-    assert sim.now - begun < 4 * 0.4, "looked, told that two ended, asked for the books, ordered"
+    assert sim.now - started_at < 4 * 0.4, "polled, reported two ended servers, read the records, ordered"
 
 
 GRAY = Plan(
@@ -161,7 +163,7 @@
 )
 
 
-def test_an_owner_that_renews_and_brings_nothing_is_relieved_and_no_other() -> None:
+def test_only_an_owner_that_renews_but_delivers_nothing_is_relieved() -> None:
     sim = Sim(GRAY, 1)
     sim.keep_lines = True
     for number in sim.hosts:
@@ -172,11 +174,11 @@
     gray = leader.duties.group_state.duties["capacity/south"].owner
     assert gray is not None
     sim.links.cut([(gray, YARD), (YARD, gray)])
-    for _ in range(20):  # servers end all the time, at both sites
+    for _ in range(20):  # servers end continually at both sites
         sim.yard.end(sim.rng.choice(["north", "south"]), sim.rng.choice("abc"), 1)
         sim.run(sim.now + 1.5)
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("south").alive == {"a": 2, "b": 4, "c": 2})
     relieved = [fields["agent"] for _, _, event, fields in sim.lines if event == "owner_relieved"]
     assert relieved == [gray] and not any(sim.judge.counts.values())
     posts = sim.leader().duties.group_state.spread.posts.values()  # type: ignore[union-attr]
-    assert all(post.owner not in (None, gray) for post in posts), "nor does it hold a post"
+    assert all(post.owner not in (None, gray) for post in posts), "it does not hold a post either"
