--- a/otterquay/duties/messages.py
+++ b/otterquay/duties/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec import Meta
 
-from otterquay.cores.bounds import Agent, Blob, Name, Number, Seconds, Share, Small
+from otterquay.cores.bounds import Agent, Blob, Name, Number, Seconds, Share, SmallBlob
 from otterquay.duties.commands import Proposal, Result
 from otterquay.duties.posts.names import MAX_POSTS, PostName
 from otterquay.duties.state import OrderState
@@ -108,7 +108,7 @@
 class Rows(msgspec.Struct, tag="rows", array_like=True, frozen=True):
     """Rows of run times, sent to the owner of the fleet's capacity or to the site's coordinator."""
 
-    rows: Small
+    rows: SmallBlob
 
 
 class Asked(msgspec.Struct, tag="asked", array_like=True, frozen=True):
--- a/otterquay/duties/posts/assigner.py
+++ b/otterquay/duties/posts/assigner.py
@@ -103,7 +103,7 @@
         self.leases[agent] = now + self.terms.group
         return granted
 
-    def gone(self, agent: int) -> None:
+    def agent_left(self, agent: int) -> None:
         """Handles an agent that shuts down and has given up all of its posts."""
         if was := self.heard.get(agent):
             was.at = was.since = -1e9  # its status number is kept, so that older statuses are ignored
--- a/otterquay/duties/state.py
+++ b/otterquay/duties/state.py
@@ -87,7 +87,7 @@
     table_version: int = 0
     table_token: Token = NONE
     acts: int = 0  # recorded acts of coordinators
-    spread: Posts = msgspec.field(default_factory=Posts)
+    posts: Posts = msgspec.field(default_factory=Posts)
 
 
 class Duties:
@@ -185,10 +185,10 @@
                     return refused
                 return self._cap(command.build, command.cap)
             case Assign():
-                granted = self.group_state.spread.assign(command.moves, self._next_token)
+                granted = self.group_state.posts.assign(command.moves, self._next_token)
                 return cm.Result(True, token=granted[0][1] if granted else NONE)  # the others are consecutive
             case Looked():
-                refused_count = self.group_state.spread.record_reports(by.agent, by.incarnation, command.reports)
+                refused_count = self.group_state.posts.record_reports(by.agent, by.incarnation, command.reports)
                 return cm.Result(
                     not refused_count, f"{refused_count} of {len(command.reports)} refused" if refused_count else ""
                 )
--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -11,7 +11,7 @@
 from otterquay.fleet.plan import Pace, Plan
 from otterquay.fleet.shell import FleetWork
 from otterquay.fleet.transport import group_number
-from otterquay.group.parts import Times as GroupTimes
+from otterquay.group.types import Times as GroupTimes
 from otterquay.logs import Logger
 from otterquay.runtimes.machine import Machine
 from otterquay.sites.site import Times as SiteTimes
--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -18,7 +18,7 @@
 from otterquay.fleet import words
 from otterquay.fleet.plan import Plan
 from otterquay.group.member import Member
-from otterquay.group.parts import Role
+from otterquay.group.types import Role
 
 LEADER = 0xFFFF  # whose name the leader's own commands go under
 PENDING_MOST = 4096
@@ -51,7 +51,7 @@
 
     def __post_init__(self) -> None:
         self.book = LeaseRegistry(self.plan.terms)
-        self.member.applied = self._applied
+        self.member.on_applied = self._applied
 
     def leads(self, now: float) -> bool:
         """Whether this member leads, a majority answers it, and its own first entry is applied."""
@@ -167,9 +167,9 @@
         )
         posts = None
         if self.assigner is not None and not m.number:
-            self.assigner.gone(sender)
+            self.assigner.agent_left(sender)
         elif self.assigner is not None:
-            posts = self.assigner.status(now, sender, m.incarnation, m.number, m.applied, m.holding, whole.spread)
+            posts = self.assigner.status(now, sender, m.incarnation, m.number, m.applied, m.holding, whole.posts)
         return dm.Beat(
             m.incarnation,
             {name: d.owner for name, d in whole.duties.items() if site_of(name) in (None, site)},
@@ -213,7 +213,7 @@
     def _posts(self, now: float, assigner: PostAssigner, out: Effects) -> None:
         """Posts change hands, and owners of a site's servers that others see bring nothing are relieved."""
         whole = self.duties.group_state
-        moves = assigner.step(now, self.wanted(), whole.spread) if now >= assigner.next_at else []
+        moves = assigner.step(now, self.wanted(), whole.posts) if now >= assigner.next_at else []
         if moves and not self._mine(now, Assign(moves), out):
             assigner.settled()
         owners = {
@@ -222,7 +222,7 @@
             if (state := whole.duties[duty_of(site)]).owner is not None
         }
         room = whole.bound - self.duties.committed_servers()
-        for site, why in assigner.progress.sites(now, whole.spread, self.plan.wants, owners, room):
+        for site, why in assigner.progress.sites(now, whole.posts, self.plan.wants, owners, room):
             owner, duty = owners[site][0], duty_of(site)
             if self.relieved.get((duty, owner), -1e9) <= now:
                 kept = sorted((until, a) for (d, a), until in self.relieved.items() if d == duty)
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -32,7 +32,7 @@
 from otterquay.group.joining import IDENTITY, KNOWN, Joining
 from otterquay.group.log import LOG, META
 from otterquay.group.member import Member, load_member
-from otterquay.group.parts import Role
+from otterquay.group.types import Role
 from otterquay.runtimes.demand import FRESH_S, Demand
 from otterquay.runtimes.machine import Machine
 from otterquay.runtimes.shared import Shared
--- a/otterquay/fleet/plan.py
+++ b/otterquay/fleet/plan.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from otterquay.duties.lease import LeaseTerms
-from otterquay.group.parts import Sizes
-from otterquay.group.parts import Times as GroupTimes
+from otterquay.group.types import Sizes
+from otterquay.group.types import Times as GroupTimes
 from otterquay.runtimes.machine import Machine
 from otterquay.runtimes.sizing import Sizing
 from otterquay.sites.site import Times as SiteTimes
--- a/otterquay/group/joining.py
+++ b/otterquay/group/joining.py
@@ -85,7 +85,7 @@
         others = len(self.members) - 1
         return len(self.welcomed) >= (len(self.members) // 2 if self.identity.known_to_all else others)
 
-    def ask(self, now: float, term: int, last: int, out: Effects) -> None:
+    def send_hellos(self, now: float, term: int, last: int, out: Effects) -> None:
         """Sends Hello to the members that have not welcomed this start."""
         if self.refused or now - self.asked_at < HELLO_INTERVAL_S:
             return
@@ -94,7 +94,7 @@
             if member != self.me and member not in self.welcomed:
                 out.send(member, Hello(self.identity.disk, self.identity.boot, self.nonce, term, last))
 
-    def hello(self, sender: int, hello: Hello, out: Effects) -> None:
+    def handle_hello(self, sender: int, hello: Hello, out: Effects) -> None:
         """Handles the Hello of another member that has started."""
         reason = self._refusal_reason(sender, hello)
         if not reason:
@@ -119,7 +119,7 @@
             return f"an older copy of the disk: term {hello.term} entry {hello.last} after {term}, {last}"
         return ""
 
-    def welcome(self, sender: int, welcome: Welcome, out: Effects) -> None:
+    def handle_welcome(self, sender: int, welcome: Welcome, out: Effects) -> None:
         """Handles an answer to this member's Hello."""
         if welcome.nonce != self.nonce or sender not in self.members or self.refused:
             return
@@ -132,6 +132,6 @@
             self.identity = Identity(self.identity.disk, self.identity.boot, True)
             out.write(META, IDENTITY, msgspec.msgpack.encode(self.identity))
 
-    def heard(self, sender: int, term: int, last: int) -> None:
+    def record_heard(self, sender: int, term: int, last: int) -> None:
         """Records that a member has voted in `term`, or acknowledged entries up to `last`."""
         self.reached[sender] = max(self.reached.get(sender, (0, 0)), (term, last))
--- a/otterquay/group/leadership.py
+++ b/otterquay/group/leadership.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from otterquay.group.parts import Peer
+from otterquay.group.types import Peer
 
 SLOW_SAMPLES = 3  # consecutive samples with a slow leader before a transfer
 MIN_SPEEDUP = 4.0  # another member must be this many times faster; if all disks are equally slow, a move is no help
@@ -56,7 +56,7 @@
         return True
 
 
-def successor(
+def choose_successor(
     now: float, peers: Mapping[int, Peer], within: float, commit_index: int, prefer_fast: bool = False
 ) -> int | None:
     """Picks the next leader among members heard from in the last `within` seconds.
--- a/otterquay/group/member.py
+++ b/otterquay/group/member.py
@@ -16,9 +16,9 @@
 from otterquay.cores.effects import Effects
 from otterquay.group import messages as ms
 from otterquay.group.joining import Joining
-from otterquay.group.leadership import SlowDiskDetector, successor
+from otterquay.group.leadership import SlowDiskDetector, choose_successor
 from otterquay.group.log import LOG, META, SNAPSHOT, Log
-from otterquay.group.parts import TERM, HardState, Peer, PendingRead, Role, Sizes, StateMachine, Times
+from otterquay.group.types import TERM, HardState, Peer, PendingRead, Role, Sizes, StateMachine, Times
 
 
 @dataclass(slots=True)
@@ -33,7 +33,7 @@
     rng: random.Random
     times: Times = field(default_factory=Times)
     sizes: Sizes = field(default_factory=Sizes)
-    applied: Callable[[int, int, bytes, object, Effects], None] = lambda index, term, data, result, out: None
+    on_applied: Callable[[int, int, bytes, object, Effects], None] = lambda index, term, data, result, out: None
     term: int = 0
     voted_for: int | None = None
     role: Role = Role.FOLLOWER
@@ -62,9 +62,9 @@
         if kept is not None:
             stored: HardState = msgspec.msgpack.decode(kept, type=HardState)
             self.term, self.voted_for = stored.term, stored.vote
-        if self.log.state is not None:
-            self.machine.load(self.log.state)
-        self.commit_index = self.last_applied = self.log.base
+        if self.log.snapshot_state is not None:
+            self.machine.load(self.log.snapshot_state)
+        self.commit_index = self.last_applied = self.log.snapshot_index
         self.durable_index = self.log.last
         self._reset_election_timer(now)
 
@@ -85,7 +85,7 @@
     def tick(self, now: float, out: Effects) -> None:
         """Runs the timers that are due."""
         if len(self.joining.welcomed) < len(self.members) - 1:
-            self.joining.ask(now, self.term, self.log.last, out)
+            self.joining.send_hellos(now, self.term, self.log.last, out)
         if not self.joining.ready:
             return
         if self.role is Role.LEADER:
@@ -108,9 +108,9 @@
             return
         match message:
             case ms.Hello():
-                return self.joining.hello(sender, message, out)
+                return self.joining.handle_hello(sender, message, out)
             case ms.Welcome():
-                self.joining.welcome(sender, message, out)
+                self.joining.handle_welcome(sender, message, out)
                 if self.joining.refused and self.role is not Role.FOLLOWER:
                     self._become_follower(now, None, out)
                 return
@@ -118,19 +118,19 @@
             return  # not admitted yet: its disk may have lost votes or entries, so it takes no part
         match message:
             case ms.PreVote():
-                self._prevote(now, sender, message, out)
+                self._handle_prevote(now, sender, message, out)
             case ms.PreVoted():
-                self._prevoted(now, sender, message, out)
+                self._handle_prevoted(now, sender, message, out)
             case ms.Vote():
-                self._vote(now, sender, message, out)
+                self._handle_vote(now, sender, message, out)
             case ms.Voted():
-                self._voted(now, sender, message, out)
+                self._handle_voted(now, sender, message, out)
             case ms.Append():
-                self._append(now, sender, message, out)
+                self._handle_append(now, sender, message, out)
             case ms.Appended():
-                self._appended(now, sender, message, out)
+                self._handle_appended(now, sender, message, out)
             case ms.Install():
-                self._install(now, sender, message, out)
+                self._handle_install(now, sender, message, out)
             case ms.Hand():
                 if message.term == self.term and self.role is Role.FOLLOWER and self.leader == sender:
                     self._start_election(now, out, True)
@@ -164,13 +164,13 @@
             if member != self.me:
                 out.send(member, ms.PreVote(self.term + 1, self.log.last, self.log.last_term))
 
-    def _prevote(self, now: float, sender: int, m: ms.PreVote, out: Effects) -> None:
+    def _handle_prevote(self, now: float, sender: int, m: ms.PreVote, out: Effects) -> None:
         granted = (
             m.term > self.term and self._log_is_up_to_date(m.last, m.last_term) and not self._leader_is_recent(now)
         )
         out.send(sender, ms.PreVoted(m.term, granted, self.term))
 
-    def _prevoted(self, now: float, sender: int, m: ms.PreVoted, out: Effects) -> None:
+    def _handle_prevoted(self, now: float, sender: int, m: ms.PreVoted, out: Effects) -> None:
         if m.own > self.term and not m.granted:
             return self._become_follower(now, None, out, m.own)
         if self.role is Role.PRE_CANDIDATE and m.granted and m.term == self.term + 1:
@@ -182,7 +182,7 @@
         """Transfers leadership and delays this member's next election; False if no member could take over."""
         if self.role is not Role.LEADER:
             return False
-        to = successor(now, self.peers, self.times.election, self.commit_index, prefer_fast)
+        to = choose_successor(now, self.peers, self.times.election, self.commit_index, prefer_fast)
         if to is None:
             return False
         out.log("leader_hands_over", term=self.term, to=to)
@@ -201,7 +201,7 @@
             if member != self.me:
                 out.send(member, ms.Vote(self.term, self.log.last, self.log.last_term, transfer))
 
-    def _vote(self, now: float, sender: int, m: ms.Vote, out: Effects) -> None:
+    def _handle_vote(self, now: float, sender: int, m: ms.Vote, out: Effects) -> None:
         if self._leader_is_recent(now) and m.term > self.term and not m.transfer:
             return
         if m.term > self.term:
@@ -219,11 +219,11 @@
             self._reset_election_timer(now)
         out.send(sender, ms.Voted(self.term, granted))
 
-    def _voted(self, now: float, sender: int, m: ms.Voted, out: Effects) -> None:
+    def _handle_voted(self, now: float, sender: int, m: ms.Voted, out: Effects) -> None:
         if m.term > self.term:
             return self._become_follower(now, None, out, m.term)
         if m.granted and m.term == self.term:
-            self.joining.heard(sender, m.term, 0)
+            self.joining.record_heard(sender, m.term, 0)
             if self.role is Role.CANDIDATE:
                 self.votes.add(sender)
                 if len(self.votes) >= self.majority:
@@ -233,7 +233,7 @@
         self.role, self.leader, self.leading_since = Role.LEADER, self.me, 0.0
         self.peers = {m: Peer(self.log.last + 1, heard_at=now) for m in self.members if m != self.me}
         self.reads.clear()
-        self.noop_index = self.log.add(ms.Entry(self.term, b""), out)
+        self.noop_index = self.log.append(ms.Entry(self.term, b""), out)
         self.disk = SlowDiskDetector(self.times.slow)
         out.log("leads", term=self.term)
         self._track_durability(now, out)
@@ -265,7 +265,7 @@
         """Appends a command and returns its index; None if not the leader or too many entries are uncommitted."""
         if self.role is not Role.LEADER or self.log.last - self.commit_index >= self.sizes.uncommitted:
             return None
-        index = self.log.add(ms.Entry(self.term, data), out)
+        index = self.log.append(ms.Entry(self.term, data), out)
         self._track_durability(now, out)
         return index
 
@@ -299,10 +299,10 @@
                     member,
                     ms.Append(
                         self.term,
-                        self.log.base,
-                        self.log.base_term,
+                        self.log.snapshot_index,
+                        self.log.snapshot_term,
                         [],
-                        min(self.commit_index, self.log.base),
+                        min(self.commit_index, self.log.snapshot_index),
                         self.round,
                     ),
                 )
@@ -316,14 +316,21 @@
         if term is None:
             peer.waiting = True
             out.send(
-                member, ms.Install(self.term, self.log.base, self.log.base_term, self.log.state or b"", self.round)
+                member,
+                ms.Install(
+                    self.term,
+                    self.log.snapshot_index,
+                    self.log.snapshot_term,
+                    self.log.snapshot_state or b"",
+                    self.round,
+                ),
             )
             return
-        entries = self.log.after(before, self.sizes.entries, self.sizes.bytes)
+        entries = self.log.entries_after(before, self.sizes.entries, self.sizes.bytes)
         peer.waiting = bool(entries)
         out.send(member, ms.Append(self.term, before, term, entries, self.commit_index, self.round))
 
-    def _appended(self, now: float, sender: int, m: ms.Appended, out: Effects) -> None:
+    def _handle_appended(self, now: float, sender: int, m: ms.Appended, out: Effects) -> None:
         if m.term > self.term:
             return self._become_follower(now, None, out, m.term)
         if self.role is not Role.LEADER or m.term < self.term:
@@ -333,7 +340,7 @@
         if m.ok:
             if m.match > self.log.last:
                 return  # does not answer any entry of this log
-            self.joining.heard(sender, m.term, m.match)
+            self.joining.record_heard(sender, m.term, m.match)
             if m.match > peer.match or m.match + 1 >= peer.next:
                 peer.waiting = False
             peer.match = max(peer.match, m.match)
@@ -370,27 +377,27 @@
     def _apply(self, now: float, out: Effects) -> None:
         while self.last_applied < self.commit_index:
             index = self.last_applied + 1
-            entry = self.log.entries[index - self.log.base - 1]
+            entry = self.log.entries[index - self.log.snapshot_index - 1]
             result = self.machine.apply(index, entry.data) if entry.data else None
             self.last_applied = index
             if self.role is Role.LEADER and index >= self.noop_index and not self.leading_since:
                 self.leading_since = now
-            self.applied(index, entry.term, entry.data, result, out)
-        if self.last_applied - self.log.base >= self.sizes.snapshot_after:
+            self.on_applied(index, entry.term, entry.data, result, out)
+        if self.last_applied - self.log.snapshot_index >= self.sizes.snapshot_after:
             self.log.compact(self.last_applied, self.machine.dump(), out)
 
     # --- follower ---
-    def _append(self, now: float, sender: int, m: ms.Append, out: Effects) -> None:
+    def _handle_append(self, now: float, sender: int, m: ms.Append, out: Effects) -> None:
         if m.term < self.term:
             out.send(sender, ms.Appended(self.term, False, 0, 0))
             return
         self._become_follower(now, sender, out, m.term)
         self.heard_at = now
-        if m.before > self.log.base and self.log.term_at(m.before) != m.before_term:
+        if m.before > self.log.snapshot_index and self.log.term_at(m.before) != m.before_term:
             hint = min(m.before - 1, self.log.last)
             conflicting_term = self.log.term_at(hint)
             while (
-                hint > self.log.base
+                hint > self.log.snapshot_index
                 and conflicting_term is not None
                 and self.log.term_at(hint) == conflicting_term
                 and (conflicting_term > m.before_term)
@@ -398,14 +405,14 @@
                 hint -= 1
             out.send(sender, ms.Appended(self.term, False, hint, m.round))
             return
-        match = self.log.merge(m.before, m.entries, out) if m.entries else max(m.before, self.log.base)
+        match = self.log.merge(m.before, m.entries, out) if m.entries else max(m.before, self.log.snapshot_index)
         self.durable_index = self.log.last
         if min(m.commit, match) > self.commit_index:
             self.commit_index = min(m.commit, match)
             self._apply(now, out)
         out.send(sender, ms.Appended(self.term, True, match, m.round))
 
-    def _install(self, now: float, sender: int, m: ms.Install, out: Effects) -> None:
+    def _handle_install(self, now: float, sender: int, m: ms.Install, out: Effects) -> None:
         if m.term < self.term:
             out.send(sender, ms.Appended(self.term, False, 0, 0))
             return
@@ -413,7 +420,11 @@
         self.heard_at = now
         if m.index > self.commit_index:
             self.machine.load(m.state)
-            keep = self.log.entries[m.index - self.log.base :] if self.log.term_at(m.index) == m.index_term else []
+            keep = (
+                self.log.entries[m.index - self.log.snapshot_index :]
+                if self.log.term_at(m.index) == m.index_term
+                else []
+            )
             self.log.reset(m.index, m.index_term, m.state, keep, out)
             self.commit_index = self.last_applied = m.index
             self.durable_index = self.log.last
--- a/otterquay/lab/cluster/play.py
+++ b/otterquay/lab/cluster/play.py
@@ -62,7 +62,7 @@
         "refused_as_stale": sum(e.what == "stale" for e in world.yard.book.tape),
         "started": sum(e.what == "started" for e in world.yard.book.tape),
         "without_owner_s": [round(g, 2) for g in (unowned[len(unowned) // 2], unowned[-1])] if unowned else [],
-        "posts": len(seen.books.group_state.spread.posts),
+        "posts": len(seen.books.group_state.posts.posts),
         "posts_moved": len(world.judge.moves),
         "messages": dict(sorted(seen.counts.items())),
     }
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -144,7 +144,7 @@
         if whole.orders or any(d.owner is None for d in whole.duties.values()):
             return False
         if self.cluster.owes and not all(
-            (post := whole.spread.posts.get(name)) and post.owner is not None and post.report_count
+            (post := whole.posts.posts.get(name)) and post.owner is not None and post.report_count
             for site, plan in self.cluster.site.items()
             for name in post_names([site], {site: plan.want})
         ):
--- a/otterquay/lab/fleetsim/explore.py
+++ b/otterquay/lab/fleetsim/explore.py
@@ -23,7 +23,7 @@
 from otterquay.group.joining import Identity, Joining
 from otterquay.group.log import LOG, META, Log
 from otterquay.group.member import Member
-from otterquay.group.parts import TERM, Role
+from otterquay.group.types import TERM, Role
 from otterquay.sites import messages as sm
 from otterquay.sites.journal import Journal
 from otterquay.sites.site import SITE, STATE, Kept, Site
--- a/otterquay/lab/fleetsim/spread_mutants.py
+++ b/otterquay/lab/fleetsim/spread_mutants.py
@@ -16,7 +16,7 @@
 from otterquay.duties.token import Token
 from otterquay.fleet.leader import Desk
 from otterquay.group.member import Member
-from otterquay.group.parts import Role
+from otterquay.group.types import Role
 from otterquay.lab.fleetsim.mutants import patch
 
 _free = PostAssigner.free
--- a/otterquay/lab/fleetsim/spread_size.py
+++ b/otterquay/lab/fleetsim/spread_size.py
@@ -54,7 +54,7 @@
     def owners(self) -> dict[str, int | None]:
         """By post, as a leader's log has it."""
         leader = self.sim.leader()
-        return {} if leader is None else {n: p.owner for n, p in leader.duties.group_state.spread.posts.items()}
+        return {} if leader is None else {n: p.owner for n, p in leader.duties.group_state.posts.posts.items()}
 
     def held(self) -> set[str]:
         """Posts that some running agent may act on now."""
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -133,13 +133,13 @@
         node = host.node
         assert node is not None
         if node.member is not None:
-            inner = node.member.applied
+            inner = node.member.on_applied
 
             def applied(index: int, term: int, data: bytes, result: object, out: Effects) -> None:
                 self.judge.committed(self.now, index, data, host.number, result)
                 inner(index, term, data, result, out)
 
-            node.member.applied = applied
+            node.member.on_applied = applied
 
     def kill(self, number: int) -> None:
         """SIGKILL: what was not on the disk is gone."""
@@ -349,7 +349,7 @@
         """Whether each post is held by the agent that the group says, and has been told of."""
         assert leader.desk is not None
         for name in leader.desk.wanted():
-            post = leader.duties.group_state.spread.posts.get(name)
+            post = leader.duties.group_state.posts.posts.get(name)
             holder = self.hosts[post.owner].node if post is not None and post.owner is not None else None
             if holder is None or post is None or not post.report_count:
                 return False
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -90,11 +90,11 @@
     for turn in range(60):
         out = Effects()
         if turn % 7 == 6:
-            log.merge(max(log.last - 2, log.base), [Entry(turn, b"other%d" % turn)], out)
+            log.merge(max(log.last - 2, log.snapshot_index), [Entry(turn, b"other%d" % turn)], out)
         elif turn % 20 == 19:
-            log.cut(log.last - 1, b"state%d" % turn, out)
+            log.compact(log.last - 1, b"state%d" % turn, out)
         else:
-            log.add(Entry(turn, b"%d" % turn * 50), out)
+            log.append(Entry(turn, b"%d" % turn * 50), out)
         await kept.write(out)
         state = [(e.term, e.data) for e in log.entries]
         if turn % 10 == 9:
@@ -103,7 +103,11 @@
             held, again = kept.held(), Log()
             again.load(held.get(META, {}).get(b"snapshot"), sorted(held.get(LOG, {}).items()))
             assert [(e.term, e.data) for e in again.entries] == state
-            assert (again.base, again.base_term, again.state) == (log.base, log.base_term, log.state)
+            assert (again.snapshot_index, again.snapshot_term, again.snapshot_state) == (
+                log.snapshot_index,
+                log.snapshot_term,
+                log.snapshot_state,
+            )
     await kept.end()
 
 
--- a/tests/fleet/test_group.py
+++ b/tests/fleet/test_group.py
@@ -12,7 +12,7 @@
 from otterquay.group.joining import Identity, Joining, Known
 from otterquay.group.log import Log
 from otterquay.group.member import Member
-from otterquay.group.parts import Role, Sizes, Times
+from otterquay.group.types import Role, Sizes, Times
 
 
 class RecordingMachine:
@@ -162,7 +162,7 @@
         make_durable(one, 6.0, out)
     one.sizes = Sizes(snapshot_after=10)
     one.receive(6.0, 1, ms.Appended(1, True, 31, 1), Effects())
-    assert one.log.base == 31 and one.log.entries == []
+    assert one.log.snapshot_index == 31 and one.log.entries == []
     out = Effects()
     one.receive(6.1, 2, ms.Appended(1, False, 0, 1), out)
     install = sent(out, ms.Install)[-1]
@@ -216,29 +216,29 @@
 )
 def test_a_start_is_welcomed_unless_its_disk_is_new_or_outdated(hello: ms.Hello, reason: str) -> None:
     one, out = joining({1: Known(5, 2, 8)}), Effects()
-    one.hello(1, hello, out)
+    one.handle_hello(1, hello, out)
     (welcome,) = sent(out, ms.Welcome)
     assert welcome.reason.startswith(reason) and bool(welcome.reason) == bool(reason)
 
 
 def test_a_start_behind_what_was_heard_from_the_member_is_an_older_copy() -> None:
     one, out = joining({1: Known(5, 2, 8)}), Effects()
-    one.heard(1, 4, 20)
-    one.hello(1, ms.Hello(5, 3, 11, 4, 12), out)
+    one.record_heard(1, 4, 20)
+    one.handle_hello(1, ms.Hello(5, 3, 11, 4, 12), out)
     assert "entry 12 after 4, 20" in sent(out, ms.Welcome)[0].reason
 
 
 def test_a_new_disk_needs_welcomes_of_all_members_and_a_known_one_of_a_majority() -> None:
     new, old = joining(known_to_all=False), joining()
     for one in (new, old):
-        one.welcome(1, ms.Welcome(99, ""), Effects())
+        one.handle_welcome(1, ms.Welcome(99, ""), Effects())
     assert old.ready and not new.ready
     out = Effects()
-    new.welcome(2, ms.Welcome(98, ""), out)
+    new.handle_welcome(2, ms.Welcome(98, ""), out)
     assert not new.ready, "the answer to another start"
-    new.welcome(2, ms.Welcome(99, ""), out)
+    new.handle_welcome(2, ms.Welcome(99, ""), out)
     assert new.ready and out.writes
-    old.welcome(2, ms.Welcome(99, "another disk"), Effects())
+    old.handle_welcome(2, ms.Welcome(99, "another disk"), Effects())
     assert not old.ready, "one refusal is enough, even a late one"
 
 
--- a/tests/fleet/test_handover.py
+++ b/tests/fleet/test_handover.py
@@ -8,8 +8,8 @@
 
 from otterquay.cores.effects import Effects
 from otterquay.group import messages as ms
-from otterquay.group.leadership import SLOW_SAMPLES, SlowDiskDetector, successor
-from otterquay.group.parts import Peer, Role
+from otterquay.group.leadership import SLOW_SAMPLES, SlowDiskDetector, choose_successor
+from otterquay.group.types import Peer, Role
 from otterquay.lab.fleetsim.world import Sim
 
 
@@ -60,9 +60,9 @@
         2: Peer(5, match=7, heard_at=1.0),
         3: Peer(5, match=3, heard_at=9.9),
     }
-    assert successor(10.0, peers, 2.0, 4) == 1
-    assert successor(10.0, peers, 2.0, 5) is None
-    assert successor(10.0, peers, 20.0, 5) == 2
+    assert choose_successor(10.0, peers, 2.0, 4) == 1
+    assert choose_successor(10.0, peers, 2.0, 5) is None
+    assert choose_successor(10.0, peers, 20.0, 5) == 2
     one, _ = elected_leader()
     assert not one.transfer_leadership(99.0, Effects()) and one.role is Role.LEADER, (
         "it stays leader; its majority may come back"
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -180,5 +180,5 @@
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("south").alive == {"a": 2, "b": 4, "c": 2})
     relieved = [fields["agent"] for _, _, event, fields in sim.lines if event == "owner_relieved"]
     assert relieved == [gray] and not any(sim.judge.counts.values())
-    posts = sim.leader().duties.group_state.spread.posts.values()  # type: ignore[union-attr]
+    posts = sim.leader().duties.group_state.posts.posts.values()  # type: ignore[union-attr]
     assert all(post.owner not in (None, gray) for post in posts), "it does not hold a post either"
--- a/tests/fleet/test_posts.py
+++ b/tests/fleet/test_posts.py
@@ -143,7 +143,7 @@
     late = fleet.holders[0].number
     fleet.silent.add(0)
     fleet.holders[0].drop()
-    fleet.assigner.gone(0)
+    fleet.assigner.agent_left(0)
     assert fleet.assigner.status(fleet.now, 0, 1 << 20, late, late - 1, [], fleet.posts) is None
     assert [m.agent for m in fleet.run(PLACEMENT_INTERVAL_S)] == [1]
 
@@ -298,7 +298,7 @@
     assert duties.apply(3, cm.encode(reports)) == cm.Result(False, "1 of 2 refused")
     other = Duties(["north"], 10)
     other.load(duties.dump())
-    assert other.digest() == duties.digest() and other.group_state.spread.posts[B].version == 5
+    assert other.digest() == duties.digest() and other.group_state.posts.posts[B].version == 5
 
 
 def test_one_agent_can_hold_the_maximum_number_of_posts() -> None:
