--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from otterquay.cores.out import Out
+from otterquay.cores.effects import Effects
 from otterquay.fleet.node import TABLES
 from otterquay.fleet.shell import tables
 from otterquay.group.log import LOG, META, Log
@@ -36,7 +36,7 @@
         self.files = self.again()
         self.store = await open_store(self.files, silent(), lambda: 0.0)
 
-    async def write(self, out: Out) -> None:
+    async def write(self, out: Effects) -> None:
         assert self.store is not None
         await self.store.commit(
             [Delete(w.table, w.key) if w.value is None else Put(w.table, w.key, w.value) for w in out.writes]
@@ -55,14 +55,14 @@
 class Forgets(Kept):
     """Broken: says done before it is."""
 
-    async def write(self, out: Out) -> None:
+    async def write(self, out: Effects) -> None:
         pass
 
 
 class Keeps(Kept):
     """Broken: never removes."""
 
-    async def write(self, out: Out) -> None:
+    async def write(self, out: Effects) -> None:
         out.writes = [w for w in out.writes if w.value is not None]
         await super().write(out)
 
@@ -88,13 +88,13 @@
     await kept.open()
     log, state = Log(), []
     for turn in range(60):
-        out = Out()
+        out = Effects()
         if turn % 7 == 6:
-            log.merge(max(log.last - 2, log.base), [Entry(turn, b"other%d" % turn)], out)
+            log.merge(max(log.last - 2, log.snapshot_index), [Entry(turn, b"other%d" % turn)], out)
         elif turn % 20 == 19:
-            log.cut(log.last - 1, b"state%d" % turn, out)
+            log.compact(log.last - 1, b"state%d" % turn, out)
         else:
-            log.add(Entry(turn, b"%d" % turn * 50), out)
+            log.append(Entry(turn, b"%d" % turn * 50), out)
         await kept.write(out)
         state = [(e.term, e.data) for e in log.entries]
         if turn % 10 == 9:
@@ -103,14 +103,18 @@
             held, again = kept.held(), Log()
             again.load(held.get(META, {}).get(b"snapshot"), sorted(held.get(LOG, {}).items()))
             assert [(e.term, e.data) for e in again.entries] == state
-            assert (again.base, again.base_term, again.state) == (log.base, log.base_term, log.state)
+            assert (again.snapshot_index, again.snapshot_term, again.snapshot_state) == (
+                log.snapshot_index,
+                log.snapshot_term,
+                log.snapshot_state,
+            )
     await kept.end()
 
 
 async def steps_are_whole_and_removed_is_removed(kept: Kept) -> None:
     await kept.open()
     for i in range(20):
-        out = Out()
+        out = Effects()
         for table in TABLES:
             out.write(table, b"k", b"%d" % i)
             out.write(table, b"gone%d" % i, b"x")
