--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -314,7 +314,7 @@
             rig.discovery.set("s-0", version_no=2, startedAtMs=rig.wall() * 1e3 - 100)
             await rig.until(lambda: not rig.appliances[0].writers)  # connections to the previous process are closed
             server = rig.node._agent.servers[server_number("s-0")]
-            assert server.entry.build == 2 and 0 < server.started <= asyncio.get_running_loop().time() * 1e3
+            assert server.entry.build == 2 and 0 < server.started_at <= asyncio.get_running_loop().time() * 1e3
             assert rig.node.list.entries[server_number("s-0")].build == 2
 
     run(work)
@@ -325,14 +325,14 @@
         async with Rig(count=2) as rig:
             rig.discovery.set("s-1", version_no=2)
             rig.desk.publish(b"2 0 testing 0.25 5")
-            await rig.until(lambda: rig.node.platform.capped(2) and rig.node._agent.news.build == 2)
+            await rig.until(lambda: rig.node.platform.capped(2) and rig.node._agent.stage_news.build == 2)
             for _ in range(40):
                 await rig.exchange(rig.encode_request())
             assert 0 < len(rig.appliances[1].got) <= 2 + 0.25 * 40
             before = len(rig.appliances[1].got)
             rig.desk.answer = lambda _: b"OK 2 0 recalling 0 1\r\n"
             rig.node._execute(it.CastVote(2, 0, it.Verdict.BACK))
-            await rig.until(lambda: rig.node._agent.news.phase is it.Phase.GOING_BACK)
+            await rig.until(lambda: rig.node._agent.stage_news.phase is it.Phase.GOING_BACK)
             assert rig.desk.votes == [b"SAY 2 0 ROLLBACK"]
             for _ in range(10):
                 await rig.exchange(rig.encode_request())
