--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -29,7 +29,7 @@
 
 from otterquay.logs import silent
 from otterquay.store import Options, Put, Store, open_store
-from otterquay.store.files import AsideDisk, Disk
+from otterquay.store.files import BackgroundSyncDisk, Disk
 
 VALUE = 100
 
@@ -39,7 +39,7 @@
 
     def __init__(self, folder: Path, aside: bool = False, options: Options | None = None) -> None:
         self.loop = asyncio.new_event_loop()
-        disk = AsideDisk(folder) if aside else Disk(folder)
+        disk = BackgroundSyncDisk(folder) if aside else Disk(folder)
         self.store: Store = self.loop.run_until_complete(open_store(disk, silent(), time.monotonic, options))
 
     def group(self, rows: list[tuple[bytes, bytes]]) -> None:
@@ -237,7 +237,7 @@
     for name, aside in (("store", False), ("store, synced aside", True)):
 
         async def run(aside: bool = aside) -> list[float]:
-            disk = (AsideDisk if aside else Disk)(scratch / f"held-{aside}")
+            disk = (BackgroundSyncDisk if aside else Disk)(scratch / f"held-{aside}")
             store = await open_store(disk, silent(), time.monotonic, Options(segment_bytes=1 << 20))
             stop, gaps, rng = False, list[float](), random.Random(1)
 
--- a/otterquay/cli/lab.py
+++ b/otterquay/cli/lab.py
@@ -441,14 +441,14 @@
         total = torture.Count()
         task = progress.add_task("truncations and bit flips", total=2 + workloads + kills)
         reference = torture.Reference(seed)
-        for trial in (torture.cut_everywhere, torture.flip_everywhere):
+        for trial in (torture.truncate_everywhere, torture.flip_everywhere):
             total.add(trial(reference))
             progress.advance(task)
         for number in range(workloads):
             progress.update(task, description="crash states", advance=1)
             total.add(torture.crash_everywhere(seed * 1000 + number))
         progress.update(task, description="killed writers")
-        total.add(asyncio.run(torture.kill_often(seed, kills, Path(folder), lambda: progress.advance(task))))
+        total.add(asyncio.run(torture.kill_repeatedly(seed, kills, Path(folder), lambda: progress.advance(task))))
     findings = asdict(total)
     if as_json:
         click.echo(json.dumps(findings))
@@ -458,7 +458,7 @@
                 click.echo(f"{name.replace('_', ' '):14} {value}")
         for text in total.notes[:20]:
             click.echo(f"broken: {text}")
-    sys.exit(1 if total.broken() else 0)
+    sys.exit(1 if total.failure_count() else 0)
 
 
 DEMO_SERVICE = Path(__file__).parent / "demo-agent.hcl"
--- a/otterquay/cli/root.py
+++ b/otterquay/cli/root.py
@@ -21,8 +21,8 @@
 from otterquay.cli.store import store_commands
 from otterquay.config import ConfigError, load_service
 from otterquay.logs import configure_logging
-from otterquay.store import Damaged, StoreFailed, open_store
-from otterquay.store.files import AsideDisk
+from otterquay.store import StoreCorrupted, StoreFailed, open_store
+from otterquay.store.files import BackgroundSyncDisk
 
 EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
@@ -161,8 +161,8 @@
         if service.agent.store:
             clock = asyncio.get_running_loop().time
             try:
-                store = await open_store(AsideDisk(Path(service.agent.store)), log, clock)
-            except (Damaged, OSError) as error:
+                store = await open_store(BackgroundSyncDisk(Path(service.agent.store)), log, clock)
+            except (StoreCorrupted, OSError) as error:
                 # serves traffic without the store; `otterquay store repair` recovers its data
                 log.error("store_not_taken", folder=service.agent.store, reason=str(error))
         try:
--- a/otterquay/cli/store.py
+++ b/otterquay/cli/store.py
@@ -12,9 +12,9 @@
 import click
 
 from otterquay.logs import configure_logging
-from otterquay.store import Damaged, Store, StoreFailed, open_store
+from otterquay.store import Store, StoreCorrupted, StoreFailed, open_store
+from otterquay.store.definitions import segment_name
 from otterquay.store.files import Disk
-from otterquay.store.parts import segment_name
 from otterquay.store.salvage import Report, backup, salvage, verify
 
 EXISTING_FOLDER = click.Path(exists=True, file_okay=False, path_type=Path)
@@ -37,17 +37,17 @@
 def _run(folder: Path, work: Coroutine[Any, Any, T]) -> T:
     try:
         return asyncio.run(work)
-    except (Damaged, StoreFailed, OSError) as error:
+    except (StoreCorrupted, StoreFailed, OSError) as error:
         click.echo(f"{folder}: {error}", err=True)
         sys.exit(1)
 
 
 async def _open_read_only(folder: Path) -> Store:
-    return await open_store(Disk(folder), configure_logging("error", "console"), _loop_clock(), look=True)
+    return await open_store(Disk(folder), configure_logging("error", "console"), _loop_clock(), read_only=True)
 
 
 def _print_damage(folder: Path, report: Report) -> None:
-    for name, offset, reason in report.bad:
+    for name, offset, reason in report.damage:
         click.echo(f"{folder / name}: offset {offset}: {reason}")
     for first, last in report.missing:
         click.echo(f"{folder}: records {first} to {last} are missing; keys that they changed have older values")
@@ -63,13 +63,13 @@
         return opened, verify(Disk(folder))
 
     opened, report = _run(folder, work())
-    newest = segment_name(opened.number)
-    bad = [b for b in report.bad if not (b[0] == newest and opened.cut_bytes)]
-    report.bad = bad
+    newest = segment_name(opened.active_segment)
+    bad = [b for b in report.damage if not (b[0] == newest and opened.truncated_bytes)]
+    report.damage = bad
     _print_damage(folder, report)
     torn_note = (
-        f"; {opened.cut_bytes} bytes of a torn tail, which the next opening for writing cuts off"
-        if opened.cut_bytes
+        f"; {opened.truncated_bytes} bytes of a torn tail, which the next opening for writing cuts off"
+        if opened.truncated_bytes
         else ""
     )
     if not bad and not report.missing:
@@ -89,10 +89,10 @@
             "segments": {segment_name(n): s.size for n, s in opened.segments.items()},
             "records": opened.sequence,
             "bytes": opened.total_bytes(),
-            "bytes_alive": opened.index.live,
+            "bytes_alive": opened.index.live_bytes,
             "oldest": segment_name(opened.oldest),
             "store_time_ms": opened.time,
-            "torn_bytes": opened.cut_bytes,
+            "torn_bytes": opened.truncated_bytes,
         }
 
     click.echo(json.dumps(_run(folder, work()), indent=1))
@@ -111,7 +111,7 @@
         opened = await _open_read_only(folder)
         for name in opened.tables():
             if table in (None, name):
-                expiry_times = opened.index.tables[name].ends
+                expiry_times = opened.index.tables[name].expiry_times
                 for key, value in opened.scan(name):
                     expiry = {"ends_ms": expiry_times[key]} if key in expiry_times else {}
                     click.echo(json.dumps({"table": name, "key": key.hex(), "value": value.hex(), **expiry}))
@@ -145,7 +145,7 @@
     async def work() -> tuple[int, int, int]:
         count, size = await backup(Disk(folder), Disk(to))
         copy = await open_store(
-            Disk(to), configure_logging("error", "console"), _loop_clock(), look=True, hints=False
+            Disk(to), configure_logging("error", "console"), _loop_clock(), read_only=True, hints=False
         )
         return count, size, sum(copy.tables().values())
 
--- a/otterquay/lab/disk.py
+++ b/otterquay/lab/disk.py
@@ -155,7 +155,7 @@
         self.locked = False
 
     # --- what may be left ---
-    def crashed(self, rng: random.Random) -> FaultDisk:
+    def after_power_loss(self, rng: random.Random) -> FaultDisk:
         """A state that the loss of power now may leave."""
         names = dict(self.lasting)
         for old, new, file in self.renames:
@@ -178,7 +178,7 @@
         left.lasting = dict(left.files)
         return left
 
-    def killed(self) -> FaultDisk:
+    def after_kill(self) -> FaultDisk:
         """What the end of the process now leaves: all that was written, also what may not last yet."""
         left = FaultDisk(capacity=self.capacity, sector=self.sector)
         twins = {id(f): f.copy() for f in [*self.files.values(), *self.lasting.values()]}
--- a/otterquay/lab/hosts.py
+++ b/otterquay/lab/hosts.py
@@ -77,7 +77,7 @@
         """Start; returns the address that clients use."""
         self.starts += 1
         rng = random.Random(self.place.seed * 1000 + self.starts)
-        self.disk = self.disk.killed()
+        self.disk = self.disk.after_kill()
         store = await open_store(self.disk, silent(), asyncio.get_running_loop().time)
         self.runtime = WebAgent(
             placed(self.service, self.place),
--- a/otterquay/lab/sim.py
+++ b/otterquay/lab/sim.py
@@ -38,7 +38,7 @@
     async def kill(self) -> None:
         """The process ends; what it had not synced is lost, as if the power failed."""
         self._loop().kill(self.machine)
-        self.disk = self.disk.crashed(random.Random(self.place.seed * 1000 + self.starts))
+        self.disk = self.disk.after_power_loss(random.Random(self.place.seed * 1000 + self.starts))
         self.runtime = None
 
     async def stop(self) -> None:
--- a/otterquay/lab/torture.py
+++ b/otterquay/lab/torture.py
@@ -19,9 +19,9 @@
 
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
-from otterquay.store import Change, Damaged, Delete, Options, Put, Store, StoreFailed, open_store
+from otterquay.store import Change, Delete, Options, Put, Store, StoreCorrupted, StoreFailed, open_store
 from otterquay.store import format as fm
-from otterquay.store.files import AsideDisk, Disk
+from otterquay.store.files import BackgroundSyncDisk, Disk
 
 T = TypeVar("T")
 State = dict[tuple[str, bytes], tuple[bytes, int]]  # value and end of life in ms of store time, 0 for none
@@ -46,7 +46,7 @@
         for name, value in asdict(other).items():
             setattr(self, name, getattr(self, name) + value)
 
-    def broken(self) -> int:
+    def failure_count(self) -> int:
         """Promises that did not hold."""
         return self.lost + self.invented + self.half_shown
 
@@ -90,7 +90,7 @@
     """All that shows, read entry by entry. Damaged where one cannot be."""
     found = State()
     for name in store.tables():
-        ends = store.index.tables[name].ends
+        ends = store.index.tables[name].expiry_times
         for key, value in store.scan(name):
             found[name, key] = value, ends.get(key, 0)
     return found
@@ -141,8 +141,8 @@
         state: State = {}
         while (
             store.oldest < 4
-            or store.number - store.oldest < 3
-            or not (300 < store.segments[store.number].size < 700)
+            or store.active_segment - store.oldest < 3
+            or not (300 < store.segments[store.active_segment].size < 700)
         ):
             self.clock.now += rng.random()
             changes = batch(rng)
@@ -162,7 +162,7 @@
         try:
             store = drive(open_store(FaultDisk(files), silent(), self.clock, SMALL))
             return store, held(store)
-        except Damaged:
+        except StoreCorrupted:
             return None, None
 
     def expected(self, sequence: int, store: Store) -> State:
@@ -170,7 +170,7 @@
         return alive(self.states[sequence], store.time)
 
 
-def cut_everywhere(reference: Reference) -> Count:
+def truncate_everywhere(reference: Reference) -> Count:
     """Cut each file at each byte. A segment before the last, cut, must be refused; the last loses its torn end."""
     count = Count()
     end = max(reference.states)
@@ -204,7 +204,7 @@
             if store is None or found is None:
                 continue
             allowed = [reference.expected(end, store)]
-            if store.cut_bytes and name == reference.last:
+            if store.truncated_bytes and name == reference.last:
                 newest = list(fm.records(data, int(name[:16], 16)))[-1]
                 if at >= newest.start:
                     allowed.append(reference.expected(end - 1, store))
@@ -222,20 +222,20 @@
     def check(left: FaultDisk, depth: int) -> None:
         count.crash_states += 1
         if depth and crashes.random() < 0.1:
-            left.moment = lambda: check(left.crashed(crashes), depth - 1)
+            left.moment = lambda: check(left.after_power_loss(crashes), depth - 1)
         try:
             store = drive(open_store(left, silent(), clock, SMALL))
             found: State | None = held(store)
             allowed = [alive(s, store.time) for s in (acknowledged, *inside)]
-        except Damaged as damage:
+        except StoreCorrupted as damage:
             found, allowed = None, [{}]
             count.notes.append(str(damage))
         count.judge(found, allowed, f"seed {seed}: crash state {count.crash_states}")
 
     def moment() -> None:
         for _ in range(ways):
-            check(disk.crashed(crashes), 1)
-        check(disk.killed(), 1)
+            check(disk.after_power_loss(crashes), 1)
+        check(disk.after_kill(), 1)
 
     async def run() -> None:
         nonlocal disk, acknowledged
@@ -248,7 +248,7 @@
             if rng.random() < 0.1:  # the process ends, and the next one goes on
                 disk.moment = lambda: None
                 await store.close()
-                disk = disk.killed()
+                disk = disk.after_kill()
                 disk.moment = moment
                 store = await open_store(disk, silent(), clock, SMALL)
             group = [batch(rng) for _ in range(rng.choice([1, 1, 3]))]
@@ -263,7 +263,7 @@
 
     try:
         asyncio.run(run())
-    except (StoreFailed, Damaged) as error:  # on a disk that did all it was asked for
+    except (StoreFailed, StoreCorrupted) as error:  # on a disk that did all it was asked for
         count.judge(None, [{}], f"seed {seed}: {error}")
     return count
 
@@ -279,7 +279,7 @@
 
 async def write_until_killed(folder: Path, aside: bool) -> None:
     """The process that is killed: sixteen writers, each with one batch over three tables under way at a time."""
-    disk = AsideDisk(folder) if aside else Disk(folder)
+    disk = BackgroundSyncDisk(folder) if aside else Disk(folder)
     store = await open_store(disk, silent(), asyncio.get_running_loop().time, Options(segment_bytes=64 * 1024))
 
     async def one(writer: int) -> None:
@@ -301,7 +301,7 @@
     await asyncio.gather(*(one(w) for w in range(WRITERS)))
 
 
-async def kill_often(seed: int, kills: int, folder: Path, told: Callable[[], None] = lambda: None) -> Count:
+async def kill_repeatedly(seed: int, kills: int, folder: Path, told: Callable[[], None] = lambda: None) -> Count:
     """Kill the writing process at random moments; what it had acknowledged on its pipe is looked for."""
     rng, count = random.Random(seed), Count()
     acknowledged = dict.fromkeys(range(WRITERS), 0)
@@ -329,7 +329,7 @@
         told()
         try:
             store = await open_store(Disk(folder), silent(), asyncio.get_running_loop().time)
-        except Damaged as damage:
+        except StoreCorrupted as damage:
             count.lost += 1
             count.notes.append(str(damage))
             return count
--- a/otterquay/store/begin.py
+++ b/otterquay/store/begin.py
@@ -6,8 +6,8 @@
 
 from otterquay.store import format as fm
 from otterquay.store import format1
+from otterquay.store.definitions import GROUP_MOST, IDENTITY, PART, StoreCorrupted, new_segment, segment_name
 from otterquay.store.files import Files, numbered
-from otterquay.store.parts import GROUP_MOST, IDENTITY, PART, Damaged, new_segment, segment_name
 
 if TYPE_CHECKING:
     from otterquay.store.engine import Store
@@ -28,7 +28,7 @@
         return
     old = format1.present(names)
     if not old and segments and (segments != [1] or files.size(segment_name(1)) > fm.HEAD_SIZE):
-        raise Damaged(IDENTITY, 0, "the file that says what this folder is, is gone")
+        raise StoreCorrupted(IDENTITY, 0, "the file that says what this folder is, is gone")
     for number in segments:
         files.remove(segment_name(number))
     if segments:
@@ -52,7 +52,7 @@
     try:
         fm.read_head(files.read(IDENTITY), fm.IDENTITY, 0)
     except fm.Bad as bad:
-        raise Damaged(IDENTITY, bad.offset, bad.reason) from None
+        raise StoreCorrupted(IDENTITY, bad.offset, bad.reason) from None
 
 
 async def _upgrade(store: Store, names: list[str]) -> None:
@@ -62,7 +62,7 @@
         held = format1.amounts(names, files.read)
     except format1.Bad as bad:
         where, _, reason = bad.reason.partition(": ")
-        raise Damaged(where, bad.offset, f"version 1: {reason}") from None
+        raise StoreCorrupted(where, bad.offset, f"version 1: {reason}") from None
     files.create(name)
     files.append(name, fm.write_head(fm.SEGMENT, 1, 1))
     content: list[bytes] = []
--- a/otterquay/store/parts.py
+++ b/otterquay/store/definitions.py
@@ -9,11 +9,11 @@
 
 PART, IDENTITY = ".part", "format"
 GROUP_MOST = 4 * 1024 * 1024  # bytes of batches after which a sync takes no further ones
-PENDING_MOST = 128 * 1024 * 1024  # bytes of batches that may wait for the disk; one further behind fails
+MAX_PENDING_BYTES = 128 * 1024 * 1024  # bytes of batches that may wait for the disk; one further behind fails
 MOVE_LEAST, MOVE_LOOKS = 64 * 1024, 512  # bytes that a step of compaction may move, entries it may look at
 
 
-class Damaged(Exception):
+class StoreCorrupted(Exception):
     """A file is damaged where no crash can have left it so; nothing was changed."""
 
     def __init__(self, name: str, offset: int, reason: str) -> None:
--- a/otterquay/store/engine.py
+++ b/otterquay/store/engine.py
@@ -19,25 +19,25 @@
 
 from otterquay.logs import Logger
 from otterquay.store import format as fm
-from otterquay.store.files import Files
-from otterquay.store.hints import write_hint
-from otterquay.store.index import Index, Undo, place, unpack
-from otterquay.store.parts import (
+from otterquay.store.definitions import (
     GROUP_MOST,
+    MAX_PENDING_BYTES,
     MOVE_LEAST,
     MOVE_LOOKS,
-    PENDING_MOST,
     Change,
-    Damaged,
     Ops,
     Options,
     Put,
     Segment,
+    StoreCorrupted,
     StoreFailed,
     hint_name,
     new_segment,
     segment_name,
 )
+from otterquay.store.files import Files
+from otterquay.store.hints import write_hint
+from otterquay.store.index import Index, Undo, place, unpack
 from otterquay.store.view import View
 
 
@@ -49,17 +49,17 @@
         self._clock = clock
         self.index = Index()
         self.segments: dict[int, Segment] = {}
-        self.number = self.sequence = 0  # of the segment that is written; of the last record
+        self.active_segment = self.sequence = 0  # of the segment that is written; of the last record
         self.oldest = 1
         self.trimmed = 1  # as the newest lasting TRIM has it: views keep segments before `oldest`
-        self.cut_bytes = 0
+        self.truncated_bytes = 0
         self.failed: str | None = None
-        self.damage: Damaged | OSError | None = None  # why compaction stopped
+        self.damage: StoreCorrupted | OSError | None = None  # why compaction stopped
         self.time = self.clock_at = 0  # ms of store time at the last look, and what the clock said then
         self.ops: Ops = {}
         self.moved_bytes = self.written_bytes = 0
         self._pending: deque[tuple[Sequence[Change], asyncio.Future[None], int]] = deque()
-        self._waiting = 0  # bytes of those
+        self._pending_bytes = 0  # bytes of those
         self._writer: asyncio.Task[None] | None = None
         self._others: set[asyncio.Task[None]] = set()
         self._cursor: Iterator[tuple[fm.Entry, int]] | None = None
@@ -92,7 +92,7 @@
         try:
             return fm.read_entry(data, 0, number, offset)
         except fm.Bad as bad:
-            raise Damaged(segment_name(number), bad.offset, bad.reason) from None
+            raise StoreCorrupted(segment_name(number), bad.offset, bad.reason) from None
 
     def view(self) -> View:
         """The store as it is now, for as long as the view is open."""
@@ -149,14 +149,16 @@
                     f"{fm.KEY_MOST} and {fm.VALUE_MOST} are taken"
                 )
             size += fm.ENTRY_SIZE + fm.TABLE_MOST + len(change.key) + len(value)
-        if size > fm.BATCH_MOST:
-            raise ValueError(f"a batch of about {size} bytes, at most {fm.BATCH_MOST} are taken")
-        if self._waiting + size > PENDING_MOST:  # to leave one out would break the order of those after it
-            self._fail(OSError(f"the disk does not keep up, {self._waiting} bytes wait"), [])
+        if size > fm.MAX_BATCH_BYTES:
+            raise ValueError(f"a batch of about {size} bytes, at most {fm.MAX_BATCH_BYTES} are taken")
+        if (
+            self._pending_bytes + size > MAX_PENDING_BYTES
+        ):  # to leave one out would break the order of those after it
+            self._fail(OSError(f"the disk does not keep up, {self._pending_bytes} bytes wait"), [])
             raise StoreFailed(self.failed or "")
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._pending.append((list(changes), done, size))
-        self._waiting += size
+        self._pending_bytes += size
         self._wake()
         return done
 
@@ -164,7 +166,7 @@
         """Write all that is alive in today's segments again and remove them. StoreFailed; Damaged, OSError."""
         if self.failed:
             raise StoreFailed(self.failed)
-        self._until = max(self._until, self.number)
+        self._until = max(self._until, self.active_segment)
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._compacting.append(done)
         self._wake()
@@ -205,8 +207,8 @@
         if self.oldest <= self._until:
             return True
         total = sum(s.size for n, s in self.segments.items() if n >= self.oldest)
-        return self.oldest < self.number and total > (
-            self.options.slack * self.index.live + 2 * self.options.segment_bytes
+        return self.oldest < self.active_segment and total > (
+            self.options.slack * self.index.live_bytes + 2 * self.options.segment_bytes
         )
 
     async def _write(self) -> None:
@@ -218,7 +220,10 @@
                     break
                 if self._doomed and not self.index.undo:
                     await self._remove_doomed()
-                if self.segments[self.number].size >= self.options.segment_bytes or self.number <= self._until:
+                if (
+                    self.segments[self.active_segment].size >= self.options.segment_bytes
+                    or self.active_segment <= self._until
+                ):
                     await self._roll()
                 if self._compacting and (self.damage or self.oldest > self._until):
                     self._compacted()
@@ -241,11 +246,11 @@
         while self._pending and size < GROUP_MOST:
             changes, future, waited = self._pending.popleft()
             group.append((changes, future))
-            self._waiting -= waited
+            self._pending_bytes -= waited
             size += sum(len(c.key) + (len(c.value) if isinstance(c, Put) else 0) for c in group[-1][0])
         if not group and not moves:
             return
-        number, start = self.number, self.segments[self.number].size + fm.RECORD_SIZE
+        number, start = self.active_segment, self.segments[self.active_segment].size + fm.RECORD_SIZE
         parts: list[bytes] = []
         done: list[tuple[str, bytes, int | None, int, bool]] = []  # table, key, place, end of life, whether moved
         try:
@@ -290,9 +295,9 @@
 
     async def append(self, kind: int, content: bytes) -> None:
         """One record and its sync. Nothing is appended to a segment before the last record is synced."""
-        name, segment = segment_name(self.number), self.segments[self.number]
+        name, segment = segment_name(self.active_segment), self.segments[self.active_segment]
         sequence = self.sequence + (kind != fm.CLOSE)
-        data = fm.write_record(self.number, kind, sequence, self.time, max(self.clock_at, 0), content)
+        data = fm.write_record(self.active_segment, kind, sequence, self.time, max(self.clock_at, 0), content)
         self.files.append(name, data)
         await self.files.sync(name)
         self.sequence = sequence
@@ -306,15 +311,15 @@
             if not future.done():
                 future.set_exception(StoreFailed(self.failed))
         self._pending.clear()
-        self._waiting = 0
+        self._pending_bytes = 0
 
     async def _roll(self) -> None:
         """Close the segment. The next one lasts before the record that says it must be there."""
-        number, first = self.number + 1, self.sequence + 1
+        number, first = self.active_segment + 1, self.sequence + 1
         await new_segment(self.files, number, first)
         await self.append(fm.CLOSE, b"")
-        ops, closed, self.ops = self.ops, self.number, {}
-        self.number = number
+        ops, closed, self.ops = self.ops, self.active_segment, {}
+        self.active_segment = number
         self.segments[number] = Segment(fm.HEAD_SIZE, first)
         task = asyncio.get_running_loop().create_task(write_hint(self, closed, ops, self.sequence, self.trimmed))
         self._others.add(task)
@@ -323,7 +328,7 @@
     # --- compaction: the oldest segment's entries that are alive are written again at the end, then it goes ---
     def _moves(self) -> list[tuple[fm.Entry, int]]:
         """What the next step moves: at least as much as writers write, so that it is not outrun."""
-        if self.oldest >= self.number:
+        if self.oldest >= self.active_segment:
             return []
         if self._cursor is None:
             self._cursor = self._alive(self.oldest)
@@ -342,7 +347,7 @@
                     size += entry[1] & 0xFFFFFFFF
                     if size >= most:
                         break
-        except (Damaged, OSError) as error:
+        except (StoreCorrupted, OSError) as error:
             self._cursor, self.damage = None, error
             self.log.error("compaction_stopped", reason=str(error))
         return found
@@ -358,7 +363,7 @@
                         table = self.index.tables.get(entry.table)
                         yield entry, at if table and table.at.get(entry.key) == at else 0
         except fm.Bad as bad:
-            raise Damaged(name, bad.offset, bad.reason) from None
+            raise StoreCorrupted(name, bad.offset, bad.reason) from None
 
     async def _remove_doomed(self) -> None:
         """Say which segment is the oldest, then remove those before it, the oldest first and each for good."""
--- a/otterquay/store/files.py
+++ b/otterquay/store/files.py
@@ -148,7 +148,7 @@
             self._lock = None
 
 
-class AsideDisk(Disk):
+class BackgroundSyncDisk(Disk):
     """A disk whose files are synced by a process of its own, so that the loop goes on meanwhile.
 
     The process keeps each file open from its first sync on: an error of writing that came since is told there
--- a/otterquay/store/hints.py
+++ b/otterquay/store/hints.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from otterquay.store import format as fm
-from otterquay.store.parts import Damaged, Ops, Segment, hint_name, segment_name
+from otterquay.store.definitions import Ops, Segment, StoreCorrupted, hint_name, segment_name
 
 if TYPE_CHECKING:
     from otterquay.store.engine import Store
@@ -86,7 +86,7 @@
         return False
     size = store.files.size(segment_name(number))
     if closing.size != size:
-        raise Damaged(
+        raise StoreCorrupted(
             segment_name(number), min(size, closing.size), f"{size} bytes where {closing.size} were closed"
         )
     begins(store, number, first)
@@ -101,6 +101,6 @@
 def begins(store: Store, number: int, first: int) -> None:
     """A segment follows on the one before it; Damaged where it does not."""
     if store.segments and first != store.sequence + 1:
-        raise Damaged(segment_name(number), 0, f"begins with record {first} after {store.sequence}")
+        raise StoreCorrupted(segment_name(number), 0, f"begins with record {first} after {store.sequence}")
     if not store.segments:
         store.sequence = first - 1
--- a/otterquay/store/index.py
+++ b/otterquay/store/index.py
@@ -29,11 +29,11 @@
 class Table:
     """One table: places by key, ends of life of those that have one, and keys in order once asked for."""
 
-    __slots__ = ("at", "ends", "order")
+    __slots__ = ("at", "expiry_times", "order")
 
     def __init__(self) -> None:
         self.at: dict[bytes, int] = {}
-        self.ends: dict[bytes, int] = {}
+        self.expiry_times: dict[bytes, int] = {}
         self.order: SortedList[bytes] | None = None
 
     def ordered(self) -> SortedList[bytes]:
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.tables: dict[str, Table] = {}
-        self.live = 0
+        self.live_bytes = 0
         self.undo: list[Undo] = []
         self._due: list[tuple[int, str, bytes]] = []
 
@@ -75,14 +75,14 @@
             if table.order is not None:
                 table.order.add(key)
         else:
-            self.live -= old & LENGTH
+            self.live_bytes -= old & LENGTH
         table.at[key] = at
-        self.live += at & LENGTH
+        self.live_bytes += at & LENGTH
         if ends:
-            table.ends[key] = ends
+            table.expiry_times[key] = ends
             heappush(self._due, (ends, name, key))
-        elif table.ends:
-            table.ends.pop(key, None)
+        elif table.expiry_times:
+            table.expiry_times.pop(key, None)
 
     def moved(self, name: str, key: bytes, at: int) -> None:
         """A key's entry was written again elsewhere, the same; the key may have ended meanwhile."""
@@ -100,13 +100,13 @@
             for undo in self.undo:
                 undo.gone.setdefault(name, SortedList()).add(key)
         del table.at[key]
-        table.ends.pop(key, None)
-        self.live -= old & LENGTH
+        table.expiry_times.pop(key, None)
+        self.live_bytes -= old & LENGTH
         if table.order is not None:
             table.order.remove(key)
 
     def _remember(self, name: str, key: bytes, table: Table, old: int | None) -> None:
-        was = None if old is None else (old, table.ends.get(key, 0))
+        was = None if old is None else (old, table.expiry_times.get(key, 0))
         for undo in self.undo:
             undo.was.setdefault((name, key), was)
 
@@ -115,7 +115,7 @@
         went = 0
         while went < most and self._due and self._due[0][0] <= now:
             ends, name, key = heappop(self._due)
-            if self.tables[name].ends.get(key) == ends:
+            if self.tables[name].expiry_times.get(key) == ends:
                 self.drop(name, key)
                 went += 1
         return went
@@ -133,19 +133,19 @@
         table = self.tables.setdefault(name, Table())
         base = segment << 64
         table.at.update(zip(keys, [base | p for p in places], strict=True))
-        if table.ends:
+        if table.expiry_times:
             for key in keys:
-                table.ends.pop(key, None)
+                table.expiry_times.pop(key, None)
         for i, until in ends:
-            table.ends[keys[i]] = until
+            table.expiry_times[keys[i]] = until
             heappush(self._due, (until, name, keys[i]))
         for key in removed:
             table.at.pop(key, None)
-            table.ends.pop(key, None)
+            table.expiry_times.pop(key, None)
 
     def settle(self) -> None:
         """Count the bytes that are alive anew, after `load`."""
-        self.live = sum(at & LENGTH for t in self.tables.values() for at in t.at.values())
+        self.live_bytes = sum(at & LENGTH for t in self.tables.values() for at in t.at.values())
 
     def find(self, name: str, key: bytes, now: int, undo: Undo | None = None) -> int | None:
         """The place of a key that is alive at `now`, or at the time of the view; None where there is none."""
@@ -156,7 +156,7 @@
                 return None if was is None or 0 < was[1] <= now else was[0]
         table = self.tables.get(name)
         at = table.at.get(key) if table else None
-        if table is None or at is None or (table.ends and 0 < table.ends.get(key, 0) <= now):
+        if table is None or at is None or (table.expiry_times and 0 < table.expiry_times.get(key, 0) <= now):
             return None
         return at
 
--- a/otterquay/store/recovery.py
+++ b/otterquay/store/recovery.py
@@ -18,11 +18,19 @@
 from otterquay.logs import Logger
 from otterquay.store import format as fm
 from otterquay.store.begin import complete, identity
+from otterquay.store.definitions import (
+    IDENTITY,
+    Options,
+    Segment,
+    StoreCorrupted,
+    StoreFailed,
+    hint_name,
+    segment_name,
+)
 from otterquay.store.engine import Store
 from otterquay.store.files import Files, numbered
 from otterquay.store.hints import begins, load_hint
 from otterquay.store.index import place
-from otterquay.store.parts import IDENTITY, Damaged, Options, Segment, StoreFailed, hint_name, segment_name
 
 LOOKS = 8  # times that reading beside a writer begins anew
 
@@ -32,7 +40,7 @@
     log: Logger,
     clock: Callable[[], float],
     options: Options | None = None,
-    look: bool = False,
+    read_only: bool = False,
     hints: bool = True,
 ) -> Store:
     """Recover what is there, or begin. `clock` is in seconds and may start anywhere; it ends lives of entries.
@@ -40,51 +48,51 @@
     `look` takes no lock, changes nothing and yields a store that takes no writes; a writer may be at work.
     StoreFailed: another process has it, or, to look, there is none. Damaged: it cannot be trusted. OSError.
     """
-    if not look and not files.lock():
+    if not read_only and not files.lock():
         raise StoreFailed("another process has this store open")
     try:
         for attempt in range(LOOKS):
             store = Store(files, log, clock, options or Options())
             try:
-                if not look:
+                if not read_only:
                     await complete(store)
                 elif IDENTITY not in files.names():
                     raise StoreFailed("no store of this version is here")
-                await _recover(store, look, hints)
+                await _recover(store, read_only, hints)
                 break
-            except (Damaged, FileNotFoundError):  # a writer rolls or removes segments while they are read
-                if not look or attempt == LOOKS - 1:
+            except (StoreCorrupted, FileNotFoundError):  # a writer rolls or removes segments while they are read
+                if not read_only or attempt == LOOKS - 1:
                     raise
     except BaseException:
         await files.close()
         raise
-    if look:
+    if read_only:
         store.failed = "opened to look in"
     return store
 
 
-async def _recover(store: Store, look: bool, hints: bool) -> None:
+async def _recover(store: Store, read_only: bool, hints: bool) -> None:
     files = store.files
     names = files.names()
     identity(files)
     numbers = numbered(names, ".seg")
     if not numbers:
-        raise Damaged(segment_name(1), 0, "all segments are gone")
+        raise StoreCorrupted(segment_name(1), 0, "all segments are gone")
     for expected, number in enumerate(numbers, numbers[0]):
         if number != expected:
-            raise Damaged(segment_name(expected), 0, "a segment is gone")
-    store.number, last = numbers[0], numbers[-1]
+            raise StoreCorrupted(segment_name(expected), 0, "a segment is gone")
+    store.active_segment, last = numbers[0], numbers[-1]
     newest = dict[int, tuple[int, int]]()
     for number in numbers:
         known = hints and number != last and hint_name(number) in names and load_hint(store, number)
         if not known:
-            newest[number] = await _replay(store, number, last, look)
-        store.number = number
+            newest[number] = await _replay(store, number, last, read_only)
+        store.active_segment = number
     if store.oldest < numbers[0]:
-        raise Damaged(segment_name(store.oldest), 0, "the oldest segment is gone")
+        raise StoreCorrupted(segment_name(store.oldest), 0, "the oldest segment is gone")
     store.index.settle()
     store.now()
-    if not look:
+    if not read_only:
         # a process may have ended between writing and syncing, or a sync may have failed and left pages that only
         # look clean: what is shown from now on must last, so the newest record is written again over itself
         for number in numbers[-2:]:
@@ -102,20 +110,20 @@
     store.trimmed = store.oldest
 
 
-async def _replay(store: Store, number: int, last: int, look: bool) -> tuple[int, int]:
+async def _replay(store: Store, number: int, last: int, read_only: bool) -> tuple[int, int]:
     """Read a segment whole; the newest record may be torn, and is cut. Where its last record, or head, stands."""
     name, files = segment_name(number), store.files
     data = files.read(name)
     start, good, closed, first = 0, 0, False, 0
     store.ops = {}
-    store.number = number
+    store.active_segment = number
     try:
         first = fm.read_head(data, fm.SEGMENT, number)
         begins(store, number, first)
         good = fm.HEAD_SIZE
         for record in fm.records(data, number):
             if closed or record.sequence != store.sequence + (record.kind != fm.CLOSE):
-                raise Damaged(name, record.start, f"record {record.sequence} after {store.sequence}")
+                raise StoreCorrupted(name, record.start, f"record {record.sequence} after {store.sequence}")
             closed = record.kind == fm.CLOSE
             _apply(store, number, record)
             store.sequence, start, good = record.sequence, record.start, record.end
@@ -124,21 +132,21 @@
         empty_after = number == last - 1 and files.size(segment_name(last)) <= fm.HEAD_SIZE
         torn = number == last or (empty_after and good)
         if good == 0:  # a head that no CLOSE vouches for was mended with the segment before it, unless one may not
-            torn = look and number == last and len(data) <= fm.HEAD_SIZE and bool(store.segments)
+            torn = read_only and number == last and len(data) <= fm.HEAD_SIZE and bool(store.segments)
         if not torn or (good and fm.next_record(data, bad.offset, number, store.sequence) is not None):
-            raise Damaged(name, bad.offset, bad.reason) from None
-        store.cut_bytes += len(data) - good
+            raise StoreCorrupted(name, bad.offset, bad.reason) from None
+        store.truncated_bytes += len(data) - good
         store.log.warning("store_tail_cut", file=name, offset=good, bytes=len(data) - good, reason=bad.reason)
-        if not look:
+        if not read_only:
             files.truncate(name, good)
             await files.sync(name)
     store.segments[number] = Segment(good, first)
     if closed and number == last:
-        raise Damaged(segment_name(number + 1), 0, "the segment after a closed one is gone")
+        raise StoreCorrupted(segment_name(number + 1), 0, "the segment after a closed one is gone")
     if not closed and number != last:
         if number != last - 1 or files.size(segment_name(last)) > fm.HEAD_SIZE:
-            raise Damaged(name, good, "the segment was not closed and the next one is in use")
-        if not look:  # a crash came between the next segment and the CLOSE, or before the next one lasted
+            raise StoreCorrupted(name, good, "the segment was not closed and the next one is in use")
+        if not read_only:  # a crash came between the next segment and the CLOSE, or before the next one lasted
             await _begin_segment(store, last)
             await store.append(fm.CLOSE, b"")
             start, good = good, store.segments[number].size
--- a/otterquay/store/salvage.py
+++ b/otterquay/store/salvage.py
@@ -7,8 +7,8 @@
 
 from otterquay.logs import Logger
 from otterquay.store import format as fm
+from otterquay.store.definitions import IDENTITY, StoreFailed, segment_name
 from otterquay.store.files import Files, numbered
-from otterquay.store.parts import IDENTITY, StoreFailed, segment_name
 from otterquay.store.recovery import LOOKS, open_store
 
 
@@ -20,7 +20,7 @@
     entries: int = 0
     time: int = 0  # the newest record's store time and clock, ms
     clock: int = 0
-    bad: list[tuple[str, int, str]] = field(default_factory=list)
+    damage: list[tuple[str, int, str]] = field(default_factory=list)
     missing: list[tuple[int, int]] = field(default_factory=list)  # first and last of sequence numbers not found
 
 
@@ -41,12 +41,12 @@
         first = fm.read_head(data, fm.SEGMENT, number)
         sequence = first - 1 if sequence is None else sequence
     except fm.Bad as bad:
-        report.bad.append((name, bad.offset, bad.reason))
+        report.damage.append((name, bad.offset, bad.reason))
     while at < len(data):
         try:
             record = fm.read_record(data, at, number)
         except fm.Bad as bad:
-            report.bad.append((name, bad.offset, bad.reason))
+            report.damage.append((name, bad.offset, bad.reason))
             found = fm.next_record(data, at, number)
             if found is None:
                 break  # the newest segment's end may be a torn record
@@ -61,7 +61,7 @@
                 report.entries += 1
                 take(entry)
         except fm.Bad as bad:
-            report.bad.append((name, bad.offset, bad.reason))
+            report.damage.append((name, bad.offset, bad.reason))
     return sequence
 
 
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -23,7 +23,7 @@
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
 from otterquay.store import Delete, Put, StoreFailed, open_store
-from otterquay.store.files import AsideDisk, Disk
+from otterquay.store.files import BackgroundSyncDisk, Disk
 
 
 class Kept:
@@ -71,7 +71,7 @@
     held = [FaultDisk()]
 
     def again() -> FaultDisk:
-        held[0] = held[0].killed()
+        held[0] = held[0].after_kill()
         return held[0]
 
     return again
@@ -79,7 +79,7 @@
 
 LAYERS: dict[str, Callable[[Path], Callable[[], Any]]] = {
     "disk": lambda folder: lambda: Disk(folder),
-    "disk beside the loop": lambda folder: lambda: AsideDisk(folder),
+    "disk beside the loop": lambda folder: lambda: BackgroundSyncDisk(folder),
     "simulated disk": lambda folder: simulated(),
 }
 
@@ -165,10 +165,10 @@
 HUNG_UP = """
 import asyncio, os, signal, sys, uvloop
 from pathlib import Path
-from otterquay.store.files import AsideDisk
+from otterquay.store.files import BackgroundSyncDisk
 
 async def work():
-    disk = AsideDisk(Path(sys.argv[1]))
+    disk = BackgroundSyncDisk(Path(sys.argv[1]))
     await disk.sync_folder()
     os.killpg(0, signal.SIGHUP)
     os.killpg(0, signal.SIGINT)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -121,7 +121,7 @@
         feeds = self.config.feeds.model_copy(update={"fleet": f"http://{fleet}", "desk": f"http://{desk}"})
         store = None
         if self.disk is not None:
-            self.disk = self.disk.killed()
+            self.disk = self.disk.after_kill()
             store = await open_store(self.disk, silent(), asyncio.get_running_loop().time)
         self.runtime = WebAgent(
             self.config.model_copy(update={"agent": agent, "feeds": feeds}),
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -538,7 +538,7 @@
 
 def test_more_keys_than_a_batch_takes_hide_no_news_of_a_build(monkeypatch: pytest.MonkeyPatch) -> None:
     """All were removed in one batch before the module was told: over 118,000 keys, it never heard of the build."""
-    monkeypatch.setattr(en.fm, "BATCH_MOST", 600_000)
+    monkeypatch.setattr(en.fm, "MAX_BATCH_BYTES", 600_000)
 
     async def work() -> None:
         async with Rig(servers=1, config=service(rollout={"one_way": True}), disk=FaultDisk()) as rig:
@@ -564,7 +564,7 @@
         disk, clock, sizes = FaultDisk(), [0.0], list[dict[str, int]]()
         for build in range(2, 42):  # two a day for twenty days, each on servers of its own
             clock[0] += HALF_DAY / 1e3
-            disk = disk.killed()
+            disk = disk.after_kill()
             store = await open_store(disk, silent(), lambda: clock[0])
             kept = keeper.Keeper(store, 4000.0, silent())
             fleet, events = kept.recall(clock[0] * 1e3)
@@ -684,7 +684,7 @@
 
 # --- the store ---
 def test_a_store_whose_disk_hangs_fails_before_memory_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(en, "PENDING_MOST", 100_000)
+    monkeypatch.setattr(en, "MAX_PENDING_BYTES", 100_000)
 
     async def work() -> None:
         disk, hangs = FaultDisk(), asyncio.Event()
@@ -700,7 +700,9 @@
         for i in range(5000):
             store.submit([Put("t", b"%d" % i, bytes(100))])
             await asyncio.sleep(0)
-        assert store.failed and "does not keep up" in store.failed and not store._pending and store._waiting == 0
+        assert (
+            store.failed and "does not keep up" in store.failed and not store._pending and store._pending_bytes == 0
+        )
         assert store.get("t", b"k") == b"before"
         with pytest.raises(StoreFailed):
             await store.commit([Put("t", b"k", b"after")])
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -25,12 +25,12 @@
 from otterquay.lab import torture as tt
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
-from otterquay.store import Damaged, Delete, Options, Put, Store, StoreFailed, open_store
+from otterquay.store import Delete, Options, Put, Store, StoreCorrupted, StoreFailed, open_store
 from otterquay.store import engine as en
 from otterquay.store import format as fm
 from otterquay.store import format1 as f1
 from otterquay.store import salvage as rc
-from otterquay.store.files import AsideDisk, Disk
+from otterquay.store.files import BackgroundSyncDisk, Disk
 from otterquay.store.index import Index
 
 
@@ -47,7 +47,9 @@
     async def run() -> None:
         rng, state, clock = random.Random(1), tt.State(), tt.Clock()
         for life in range(5):
-            store = await opened(Disk(tmp_path / "s") if life % 2 else AsideDisk(tmp_path / "s"), clock=clock)
+            store = await opened(
+                Disk(tmp_path / "s") if life % 2 else BackgroundSyncDisk(tmp_path / "s"), clock=clock
+            )
             assert tt.held(store) == tt.alive(state, store.time)
             for _ in range(40):
                 clock.now += 0.2
@@ -62,7 +64,7 @@
             with pytest.raises(StoreFailed, match="closed"):
                 await store.commit([Put("a", b"b", b"c")])
         assert store.oldest > 3, "compaction ran"
-        assert store.total_bytes() < tt.SMALL.slack * store.index.live + 4 * tt.SMALL.segment_bytes
+        assert store.total_bytes() < tt.SMALL.slack * store.index.live_bytes + 4 * tt.SMALL.segment_bytes
 
     asyncio.run(run())
 
@@ -72,13 +74,13 @@
 
 def test_cut_at_every_byte_of_every_file() -> None:
     assert {n.partition(".")[2] for n in REFERENCE.files} == {"", "seg", "hint"} and len(REFERENCE.files) >= 7
-    count = tt.cut_everywhere(REFERENCE)
-    assert count.cuts == sum(map(len, REFERENCE.files.values())) and not count.broken(), count.notes[:5]
+    count = tt.truncate_everywhere(REFERENCE)
+    assert count.cuts == sum(map(len, REFERENCE.files.values())) and not count.failure_count(), count.notes[:5]
 
 
 def test_a_flip_at_every_byte_is_told_or_harmless() -> None:
     count = tt.flip_everywhere(REFERENCE)
-    assert count.flips > 3000 and not count.broken(), count.notes[:5]
+    assert count.flips > 3000 and not count.failure_count(), count.notes[:5]
 
 
 def test_a_file_that_is_gone_is_missed_or_not_needed() -> None:
@@ -93,12 +95,12 @@
 @pytest.mark.parametrize("seed", range(4))
 def test_a_crash_at_every_step_leaves_all_that_was_acknowledged(seed: int) -> None:
     count = tt.crash_everywhere(seed)
-    assert count.crash_states > 1000 and not count.broken(), count.notes[:5]
+    assert count.crash_states > 1000 and not count.failure_count(), count.notes[:5]
 
 
 def test_processes_killed_under_load_lose_nothing(tmp_path: Path) -> None:
-    count = asyncio.run(tt.kill_often(5, 4, tmp_path))
-    assert count.kills == 4 and not count.broken(), count
+    count = asyncio.run(tt.kill_repeatedly(5, 4, tmp_path))
+    assert count.kills == 4 and not count.failure_count(), count
 
 
 # --- each promise taken out once ---
@@ -113,12 +115,12 @@
 async def early_close(self: Store) -> None:
     """Says that the next segment must be there before it lasts."""
     await self.append(fm.CLOSE, b"")
-    number = self.number + 1
+    number = self.active_segment + 1
     self.files.create(en.segment_name(number))
     self.files.append(en.segment_name(number), fm.write_head(fm.SEGMENT, number, self.sequence + 1))
     await self.files.sync(en.segment_name(number))
     await self.files.sync_folder()
-    self.number, self.ops = number, {}
+    self.active_segment, self.ops = number, {}
     self.segments[number] = en.Segment(fm.HEAD_SIZE, self.sequence + 1)
 
 
@@ -225,15 +227,15 @@
         store = await opened(disk)
         await store.commit([Put("t", b"a", b"1")])
 
-        def broken(operation: str, name: str) -> None:
+        def fail_sync(operation: str, name: str) -> None:
             if operation == "sync":
                 raise OSError(5, "Input/output error")
 
-        disk.fail = broken
+        disk.fail = fail_sync
         with pytest.raises(StoreFailed, match="Input/output error"):
             await store.commit([Put("t", b"b", b"2")])
         disk.fail = lambda *_: None
-        again = disk.killed()
+        again = disk.after_kill()
         if not rewrites:
             write = again.write_at
             again.write_at = lambda name, offset, data, operation="": (  # type: ignore[method-assign]
@@ -242,11 +244,11 @@
         second = await opened(again)
         shown = second.get("t", b"b")
         await second.commit([Put("t", b"c", b"3")])
-        third = await opened(again.crashed(random.Random(1)))
+        third = await opened(again.after_power_loss(random.Random(1)))
         return third.get("t", b"b") == shown and third.get("t", b"c") == b"3"
 
     assert asyncio.run(run(True))
-    with pytest.raises(Damaged):
+    with pytest.raises(StoreCorrupted):
         asyncio.run(run(False))
 
 
@@ -286,7 +288,7 @@
             await store.compact()
         assert tt.held(store) == tt.alive(state, store.now()), "what was synced still reads"
         await store.close()
-        again = await opened(disk.killed())
+        again = await opened(disk.after_kill())
         assert tt.held(again) in (tt.alive(state, again.time), tt.alive(maybe, again.time))
         await again.commit([Put("t", b"d", b"4")])
 
@@ -303,10 +305,10 @@
                 await store.commit([Put("t", b"%d" % done, b"x" * 200), Put("u", b"%d" % done, b"y" * 100)])
                 done += 1
         assert done > 8
-        left = disk.killed()
+        left = disk.after_kill()
         left.capacity = None
         again = await opened(left, Options(segment_bytes=100_000))
-        assert again.tables() == {"t": done, "u": done} and again.cut_bytes > 0
+        assert again.tables() == {"t": done, "u": done} and again.truncated_bytes > 0
 
     asyncio.run(run())
 
@@ -334,7 +336,7 @@
         data = disk.files[first].cache
         at = data.find(b"x" * 60)
         data[at] ^= 1
-        with pytest.raises(Damaged, match=f"{first}: offset"):
+        with pytest.raises(StoreCorrupted, match=f"{first}: offset"):
             store.get("t", b"00")
 
     asyncio.run(run())
@@ -342,7 +344,7 @@
 
 def test_the_process_that_syncs_gone_stops_the_store(tmp_path: Path) -> None:
     async def run() -> None:
-        disk = AsideDisk(tmp_path)
+        disk = BackgroundSyncDisk(tmp_path)
         store = await opened(disk)
         await store.commit([Put("t", b"a", b"1")])
         assert disk._helper is not None
@@ -377,7 +379,7 @@
         await store.commit([Put("t", b"more", b"4", 50.0)])
         await store.close()
         clock.now = 3.0  # a start of the machine, the clock from nothing
-        again = await opened(disk.killed(), clock=clock)
+        again = await opened(disk.after_kill(), clock=clock)
         assert [k for k, _ in again.scan("t")] == [b"ever", b"more"]
         clock.now += 49.9
         assert again.get("t", b"more") == b"4"
@@ -412,7 +414,7 @@
             await store.commit([Put("t", b"%d" % i, b"v" * fm.VALUE_MOST) for i in range(3)])
         most = [Put("t" * 255, b"k" * 65_535, b"v" * fm.VALUE_MOST), Put("t", b"", b"")]
         await store.commit(most)
-        again = await opened(store.files.killed(), Options())  # type: ignore[attr-defined]
+        again = await opened(store.files.after_kill(), Options())  # type: ignore[attr-defined]
         assert again.get("t" * 255, b"k" * 65_535) == b"v" * fm.VALUE_MOST and again.get("t", b"") == b""
         assert again.get("t", b"half") is None and again.get("t", b"other") == b"1"
 
@@ -473,7 +475,7 @@
         worst = 0.0
         for _ in range(300):
             await store.commit([Put("t", b"%d" % rng.randrange(keys), rng.randbytes(40)) for _ in range(100)])
-            bound = options.slack * store.index.live + 5 * options.segment_bytes
+            bound = options.slack * store.index.live_bytes + 5 * options.segment_bytes
             worst = max(worst, store.total_bytes() / bound)
         assert worst < 1 and store.oldest > 2
         assert store.moved_bytes < 2.5 * store.written_bytes
@@ -490,10 +492,10 @@
             await store.commit(tt.batch(rng))
         await asyncio.sleep(0)
         assert sum(n.endswith(".hint") for n in disk.files) >= 2
-        with_hints = await opened(disk.killed(), clock=tt.Clock())
-        read = await open_store(disk.killed(), silent(), tt.Clock(), tt.SMALL, hints=False)
+        with_hints = await opened(disk.after_kill(), clock=tt.Clock())
+        read = await open_store(disk.after_kill(), silent(), tt.Clock(), tt.SMALL, hints=False)
         assert tt.held(with_hints) == tt.held(read) == tt.held(store)
-        assert with_hints.index.live == read.index.live == store.index.live
+        assert with_hints.index.live_bytes == read.index.live_bytes == store.index.live_bytes
         assert with_hints.oldest == read.oldest == store.oldest
 
     asyncio.run(run())
@@ -543,13 +545,13 @@
     @rule(seed=st.integers(0, 2**32))
     def power_fails(self, seed: int) -> None:
         self._note_time()
-        self.disk = self.disk.crashed(random.Random(seed))
+        self.disk = self.disk.after_power_loss(random.Random(seed))
         self.store = self._open()
 
     @rule()
     def process_ends(self) -> None:
         self._note_time()
-        self.disk = self.disk.killed()
+        self.disk = self.disk.after_kill()
         self.store = self._open()
 
     def _note_time(self) -> None:
@@ -558,7 +560,7 @@
 
     @rule(seed=st.integers(0, 2**32))
     def sync_fails(self, seed: int) -> None:
-        def broken(operation: str, name: str) -> None:
+        def fail_sync(operation: str, name: str) -> None:
             if operation == "sync":
                 raise OSError(5, "Input/output error")
 
@@ -566,11 +568,11 @@
         changes = tt.batch(random.Random(seed))
         self.store.now()
         self.maybe = tt.applied(self.state, changes, self.store.time)
-        self.disk.fail = broken
+        self.disk.fail = fail_sync
         with pytest.raises(StoreFailed):
             self.loop.run_until_complete(self.store.commit(changes))
         assert tt.held(self.store) == tt.alive(self.state, self.store.time)
-        self.disk = self.disk.killed() if seed % 2 else self.disk.crashed(random.Random(seed))
+        self.disk = self.disk.after_kill() if seed % 2 else self.disk.after_power_loss(random.Random(seed))
         self.store = self._open()
         found = tt.held(self.store)
         assert found in (tt.alive(self.state, self.store.time), tt.alive(self.maybe, self.store.time))
@@ -633,7 +635,7 @@
         for copy in range(15):
             await asyncio.sleep(0.01)
             sure = int(store.get("n", b"n") or b"0")
-            looked = await open_store(Disk(tmp_path / "a"), silent(), lambda: 0.0, look=True)
+            looked = await open_store(Disk(tmp_path / "a"), silent(), lambda: 0.0, read_only=True)
             assert looked.get("n", b"n") == looked.get("m", b"m") and int(looked.get("n", b"n") or b"0") >= sure
             with pytest.raises(StoreFailed, match="look"):
                 await looked.commit([Put("a", b"b", b"c")])
@@ -680,7 +682,7 @@
     def crash_at(disk: FaultDisk) -> None:
         nonlocal count
         for _ in range(6):
-            left = disk.crashed(rng)
+            left = disk.after_power_loss(rng)
             assert values(tt.drive(opened(left))) == OLD_HELD
             count += 1
 
@@ -696,14 +698,14 @@
     name = f"{2:016x}.log"
     files[name] = files[name][:50] + b"\xff" + files[name][51:]
     disk = FaultDisk(files)
-    with pytest.raises(Damaged, match=f"{name}: offset 32: version 1"):
+    with pytest.raises(StoreCorrupted, match=f"{name}: offset 32: version 1"):
         tt.drive(opened(disk))
     assert {n: d for n, d in disk.contents().items() if n in files} == files
     later = dict(REFERENCE.files)
     for kind in ("format", REFERENCE.last):
         data = bytearray(later[kind])
         data[8] = 9
-        with pytest.raises(Damaged, match="written by version 9"):
+        with pytest.raises(StoreCorrupted, match="written by version 9"):
             tt.drive(opened(FaultDisk({**later, kind: bytes(data)})))
 
 
@@ -718,7 +720,7 @@
     touched = {(e.table, e.key) for e in fm.entries(broken, int(name[:16], 16))}
     damaged, to = FaultDisk(files), FaultDisk()
     report = asyncio.run(rc.salvage(damaged, to, silent(), clock))
-    assert report.bad == [(name, broken.start, "a record's tag does not fit")]
+    assert report.damage == [(name, broken.start, "a record's tag does not fit")]
     assert report.missing == [(broken.sequence, broken.sequence)]
     store = tt.drive(opened(to, clock=clock))
     want = REFERENCE.expected(max(REFERENCE.states), store)
@@ -726,7 +728,7 @@
     assert all(found.get(spot) == want.get(spot) for spot in {*found, *want} - touched)
     assert damaged.contents() == files
     with pytest.raises(StoreFailed, match="not empty"):
-        asyncio.run(rc.salvage(FaultDisk(REFERENCE.files), to.killed(), silent(), clock))
+        asyncio.run(rc.salvage(FaultDisk(REFERENCE.files), to.after_kill(), silent(), clock))
 
 
 def test_the_commands_tell_what_is_there_copy_and_salvage(tmp_path: Path) -> None:
@@ -819,7 +821,7 @@
         await store.compact()
         await asyncio.sleep(0)
         assert store.oldest > 1 and en.segment_name(1) in disk.files
-        left = disk.killed()
+        left = disk.after_kill()
         view.close()
         return left
 
@@ -827,4 +829,4 @@
     store = tt.drive(opened(disk))
     assert en.segment_name(1) not in disk.files and store.oldest > 1
     for seed in range(40):
-        tt.drive(opened(disk.crashed(random.Random(seed))))
+        tt.drive(opened(disk.after_power_loss(random.Random(seed))))
