--- a/otterquay/lab/disk.py
+++ b/otterquay/lab/disk.py
@@ -41,17 +41,19 @@
         self, files: dict[str, bytes] | None = None, capacity: int | None = None, sector: int = SECTOR
     ) -> None:
         self.files = {name: _File(bytearray(d), bytearray(d)) for name, d in (files or {}).items()}
-        self.lasting = dict(self.files)  # names as the folder on the disk has them
-        self.renames: list[tuple[str, str | None, _File | None]] = []  # since its last sync: made, moved, removed
+        self.durable_names = dict(self.files)  # names as the folder on the disk has them
+        self.name_changes: list[
+            tuple[str, str | None, _File | None]
+        ] = []  # since its last sync: made, moved, removed
         self.capacity, self.sector = capacity, sector
         self.locked = False
-        self.moment: Callable[[], None] = lambda: None
+        self.before_change: Callable[[], None] = lambda: None
         self.fail: Callable[[str, str], None] = lambda operation, name: None
-        self.lossy = random.Random(0)
+        self.short_write_rng = random.Random(0)
 
-    def _do(self, operation: str, name: str) -> None:
+    def _begin_operation(self, operation: str, name: str) -> None:
         if operation != "read":
-            self.moment()
+            self.before_change()
         self.fail(operation, name)
 
     def contents(self) -> dict[str, bytes]:
@@ -74,17 +76,17 @@
 
     def read(self, name: str, offset: int = 0, length: int = -1) -> bytes:
         """Bytes of a file."""
-        self._do("read", name)
+        self._begin_operation("read", name)
         data = self._file(name).cache
         return bytes(data[offset:] if length < 0 else data[offset : offset + length])
 
     def create(self, name: str) -> None:
         """A new file."""
-        self._do("create", name)
+        self._begin_operation("create", name)
         if name in self.files:
             raise FileExistsError(errno.EEXIST, "there is one", name)
         self.files[name] = _File()
-        self.renames.append((name, None, self.files[name]))
+        self.name_changes.append((name, None, self.files[name]))
 
     def append(self, name: str, data: bytes) -> None:
         """Bytes at the end; an error leaves some of them, as a short write does."""
@@ -95,9 +97,9 @@
         file = self._file(name)
         error: OSError | None = None
         try:
-            self._do(operation, name)
+            self._begin_operation(operation, name)
         except OSError as raised:
-            error, data = raised, data[: self.lossy.randint(0, len(data))]
+            error, data = raised, data[: self.short_write_rng.randint(0, len(data))]
         if self.capacity is not None:
             room = self.capacity - sum(len(f.cache) for f in self.files.values())
             if len(data) > room:
@@ -110,7 +112,7 @@
 
     def truncate(self, name: str, size: int) -> None:
         """Cut a file."""
-        self._do("truncate", name)
+        self._begin_operation("truncate", name)
         self._file(name).dirty.append((size, None))
         _write(self._file(name).cache, size, None)
 
@@ -118,7 +120,7 @@
         """Writes last; a sync that fails forgets them."""
         file = self._file(name)
         try:
-            self._do("sync", name)
+            self._begin_operation("sync", name)
         except OSError:
             file.dirty = []
             raise
@@ -128,22 +130,22 @@
 
     def rename(self, old: str, new: str) -> None:
         """Another name for a file."""
-        self._do("rename", old)
+        self._begin_operation("rename", old)
         self.files[new] = self._file(old)
         del self.files[old]
-        self.renames.append((old, new, self.files[new]))
+        self.name_changes.append((old, new, self.files[new]))
 
     def remove(self, name: str) -> None:
         """Remove a name."""
-        self._do("remove", name)
+        self._begin_operation("remove", name)
         self._file(name)
         del self.files[name]
-        self.renames.append((name, None, None))
+        self.name_changes.append((name, None, None))
 
     async def sync_folder(self) -> None:
         """Names last."""
-        self._do("sync_folder", "")
-        self.lasting, self.renames = dict(self.files), []
+        self._begin_operation("sync_folder", "")
+        self.durable_names, self.name_changes = dict(self.files), []
 
     def lock(self) -> bool:
         """Whether nobody had it."""
@@ -157,8 +159,8 @@
     # --- what may be left ---
     def after_power_loss(self, rng: random.Random) -> FaultDisk:
         """A state that the loss of power now may leave."""
-        names = dict(self.lasting)
-        for old, new, file in self.renames:
+        names = dict(self.durable_names)
+        for old, new, file in self.name_changes:
             if rng.random() < 0.5:
                 if new is not None and file is not None:
                     if names.get(old) is file:
@@ -175,17 +177,17 @@
                 if rng.random() < keep:
                     _write(disk, offset, what)
             left.files[name] = _File(bytearray(disk), disk)
-        left.lasting = dict(left.files)
+        left.durable_names = dict(left.files)
         return left
 
     def after_kill(self) -> FaultDisk:
         """What the end of the process now leaves: all that was written, also what may not last yet."""
         left = FaultDisk(capacity=self.capacity, sector=self.sector)
-        twins = {id(f): f.copy() for f in [*self.files.values(), *self.lasting.values()]}
-        for _, _, file in self.renames:
+        copies = {id(f): f.copy() for f in [*self.files.values(), *self.durable_names.values()]}
+        for _, _, file in self.name_changes:
             if file is not None:
-                twins.setdefault(id(file), file.copy())
-        left.files = {name: twins[id(f)] for name, f in self.files.items()}
-        left.lasting = {name: twins[id(f)] for name, f in self.lasting.items()}
-        left.renames = [(a, b, twins[id(f)] if f else None) for a, b, f in self.renames]
+                copies.setdefault(id(file), file.copy())
+        left.files = {name: copies[id(f)] for name, f in self.files.items()}
+        left.durable_names = {name: copies[id(f)] for name, f in self.durable_names.items()}
+        left.name_changes = [(a, b, copies[id(f)] if f else None) for a, b, f in self.name_changes]
         return left
--- a/otterquay/lab/torture.py
+++ b/otterquay/lab/torture.py
@@ -25,7 +25,7 @@
 
 T = TypeVar("T")
 State = dict[tuple[str, bytes], tuple[bytes, int]]  # value and end of life in ms of store time, 0 for none
-SMALL = Options(segment_bytes=700, slack=1.5)
+SMALL_OPTIONS = Options(segment_bytes=700, slack=1.5)
 
 
 @dataclass(slots=True)
@@ -50,16 +50,16 @@
         """Promises that did not hold."""
         return self.lost + self.invented + self.half_shown
 
-    def judge(self, found: State | None, allowed: list[State], where: str) -> None:
+    def check_state(self, found: State | None, allowed: list[State], where: str) -> None:
         """`allowed` are the states that may show, the oldest first; None: it did not open, and had to."""
         if found is not None and found in allowed:
             return
-        sure, known = (set(allowed[0]), set(allowed[0])) if allowed else (set(), set())
+        required, possible = (set(allowed[0]), set(allowed[0])) if allowed else (set(), set())
         for state in allowed:
-            sure, known = sure & set(state), known | set(state)
-        if found is None or sure - set(found):
+            required, possible = required & set(state), possible | set(state)
+        if found is None or required - set(found):
             self.lost += 1
-        elif set(found) - known:
+        elif set(found) - possible:
             self.invented += 1
         else:
             self.half_shown += 1
@@ -76,7 +76,7 @@
         return self.now
 
 
-def drive(work: Coroutine[Any, Any, T]) -> T:
+def run_sync(work: Coroutine[Any, Any, T]) -> T:
     """Run what only waits for a disk that answers at once, also from within a running loop."""
     try:
         work.send(None)
@@ -86,7 +86,7 @@
     raise RuntimeError("it waits for something else than the disk")
 
 
-def held(store: Store) -> State:
+def read_all(store: Store) -> State:
     """All that shows, read entry by entry. Damaged where one cannot be."""
     found = State()
     for name in store.tables():
@@ -96,24 +96,24 @@
     return found
 
 
-def applied(state: State, changes: list[Change], now: int) -> State:
+def apply_changes(state: State, changes: list[Change], now: int) -> State:
     """The model: what holds after a batch given at this store time."""
     after = dict(state)
     for change in changes:
-        spot = change.table, change.key
+        table_key = change.table, change.key
         if isinstance(change, Delete):
-            after.pop(spot, None)
+            after.pop(table_key, None)
         else:
-            after[spot] = change.value, 0 if change.life_s is None else max(now + int(change.life_s * 1e3), 1)
+            after[table_key] = change.value, 0 if change.ttl_s is None else max(now + int(change.ttl_s * 1e3), 1)
     return after
 
 
-def alive(state: State, now: int) -> State:
+def unexpired(state: State, now: int) -> State:
     """What of a state has not ended."""
-    return {spot: (value, ends) for spot, (value, ends) in state.items() if not 0 < ends <= now}
+    return {table_key: (value, ends) for table_key, (value, ends) in state.items() if not 0 < ends <= now}
 
 
-def batch(rng: random.Random) -> list[Change]:
+def random_batch(rng: random.Random) -> list[Change]:
     """A few changes over two tables and a dozen keys; some end soon."""
     changes: list[Change] = []
     for _ in range(rng.randint(1, 4)):
@@ -121,8 +121,8 @@
         if rng.random() < 0.2:
             changes.append(Delete(table, key))
         else:
-            life = rng.choice([None, None, None, 5.0])
-            changes.append(Put(table, key, rng.randbytes(rng.choice([0, 3, 40])), life))
+            ttl = rng.choice([None, None, None, 5.0])
+            changes.append(Put(table, key, rng.randbytes(rng.choice([0, 3, 40])), ttl))
     return changes
 
 
@@ -137,7 +137,7 @@
         self.last = max(n for n in self.files if n.endswith(".seg"))
 
     async def _fill(self, rng: random.Random) -> None:
-        store = await open_store(self.disk, silent(), self.clock, SMALL)
+        store = await open_store(self.disk, silent(), self.clock, SMALL_OPTIONS)
         state: State = {}
         while (
             store.oldest < 4
@@ -145,10 +145,10 @@
             or not (300 < store.segments[store.active_segment].size < 700)
         ):
             self.clock.now += rng.random()
-            changes = batch(rng)
+            changes = random_batch(rng)
             before = store.sequence
             await store.commit(changes)
-            state = applied(state, changes, store.time)
+            state = apply_changes(state, changes, store.time)
             for _ in range(4):
                 await asyncio.sleep(0)  # compaction and the next segment follow the commit
             for sequence in range(before + 1, store.sequence + 1):
@@ -157,17 +157,17 @@
         for sequence in range(1, store.sequence + 1):
             self.states.setdefault(sequence, self.states[sequence - 1])
 
-    def opened(self, files: dict[str, bytes]) -> tuple[Store | None, State | None]:
+    def open_and_read(self, files: dict[str, bytes]) -> tuple[Store | None, State | None]:
         """Open and read all; None where either tells of damage."""
         try:
-            store = drive(open_store(FaultDisk(files), silent(), self.clock, SMALL))
-            return store, held(store)
+            store = run_sync(open_store(FaultDisk(files), silent(), self.clock, SMALL_OPTIONS))
+            return store, read_all(store)
         except StoreCorrupted:
             return None, None
 
     def expected(self, sequence: int, store: Store) -> State:
         """What must show after this record."""
-        return alive(self.states[sequence], store.time)
+        return unexpired(self.states[sequence], store.time)
 
 
 def truncate_everywhere(reference: Reference) -> Count:
@@ -177,17 +177,17 @@
     for name, data in reference.files.items():
         for cut in range(len(data)):
             count.cuts += 1
-            store, found = reference.opened({**reference.files, name: data[:cut]})
+            store, found = reference.open_and_read({**reference.files, name: data[:cut]})
             where = f"{name} cut at {cut}"
-            if name == reference.last and cut >= fm.HEAD_SIZE:
+            if name == reference.last and cut >= fm.HEADER_SIZE:
                 number = int(name[:16], 16)
                 whole = sum(1 for r in fm.records(data, number) if r.end > cut)
                 allowed = reference.expected(end - whole, store) if store else {}
-                count.judge(found, [allowed], where)
+                count.check_state(found, [allowed], where)
             elif name.endswith(".hint"):
-                count.judge(found, [reference.expected(end, store)] if store else [], where)
+                count.check_state(found, [reference.expected(end, store)] if store else [], where)
             elif store is not None:
-                count.judge({("shown", b""): (b"", 0)}, [reference.expected(end, store)], where)
+                count.check_state({("shown", b""): (b"", 0)}, [reference.expected(end, store)], where)
     return count
 
 
@@ -200,7 +200,7 @@
             count.flips += 1
             flipped = bytearray(data)
             flipped[at] ^= 1 << at % 8
-            store, found = reference.opened({**reference.files, name: bytes(flipped)})
+            store, found = reference.open_and_read({**reference.files, name: bytes(flipped)})
             if store is None or found is None:
                 continue
             allowed = [reference.expected(end, store)]
@@ -208,78 +208,78 @@
                 newest = list(fm.records(data, int(name[:16], 16)))[-1]
                 if at >= newest.start:
                     allowed.append(reference.expected(end - 1, store))
-            count.judge(found, allowed, f"{name} flipped at {at}")
+            count.check_state(found, allowed, f"{name} flipped at {at}")
     return count
 
 
-def crash_everywhere(seed: int, steps: int = 30, ways: int = 4) -> Count:
+def crash_everywhere(seed: int, steps: int = 30, variants: int = 4) -> Count:
     """Crash before every operation of a random workload, in several ways, and again while that is recovered."""
     rng, crashes, count = random.Random(seed), random.Random(seed + 1), Count()
     disk, clock = FaultDisk(), Clock()
     acknowledged: State = {}
-    inside: list[State] = []
+    in_flight: list[State] = []
 
     def check(left: FaultDisk, depth: int) -> None:
         count.crash_states += 1
         if depth and crashes.random() < 0.1:
-            left.moment = lambda: check(left.after_power_loss(crashes), depth - 1)
+            left.before_change = lambda: check(left.after_power_loss(crashes), depth - 1)
         try:
-            store = drive(open_store(left, silent(), clock, SMALL))
-            found: State | None = held(store)
-            allowed = [alive(s, store.time) for s in (acknowledged, *inside)]
+            store = run_sync(open_store(left, silent(), clock, SMALL_OPTIONS))
+            found: State | None = read_all(store)
+            allowed = [unexpired(s, store.time) for s in (acknowledged, *in_flight)]
         except StoreCorrupted as damage:
             found, allowed = None, [{}]
             count.notes.append(str(damage))
-        count.judge(found, allowed, f"seed {seed}: crash state {count.crash_states}")
+        count.check_state(found, allowed, f"seed {seed}: crash state {count.crash_states}")
 
     def moment() -> None:
-        for _ in range(ways):
+        for _ in range(variants):
             check(disk.after_power_loss(crashes), 1)
         check(disk.after_kill(), 1)
 
     async def run() -> None:
         nonlocal disk, acknowledged
-        disk.moment = moment
-        store = await open_store(disk, silent(), clock, SMALL)
+        disk.before_change = moment
+        store = await open_store(disk, silent(), clock, SMALL_OPTIONS)
         for _ in range(steps):
             clock.now += rng.random()
             if rng.random() < 0.1:
                 await store.compact()
             if rng.random() < 0.1:  # the process ends, and the next one goes on
-                disk.moment = lambda: None
+                disk.before_change = lambda: None
                 await store.close()
                 disk = disk.after_kill()
-                disk.moment = moment
-                store = await open_store(disk, silent(), clock, SMALL)
-            group = [batch(rng) for _ in range(rng.choice([1, 1, 3]))]
+                disk.before_change = moment
+                store = await open_store(disk, silent(), clock, SMALL_OPTIONS)
+            group = [random_batch(rng) for _ in range(rng.choice([1, 1, 3]))]
             store.now()
             for changes in group:
-                inside.append(applied(inside[-1] if inside else acknowledged, changes, store.time))
+                in_flight.append(apply_changes(in_flight[-1] if in_flight else acknowledged, changes, store.time))
             await asyncio.gather(*(store.commit(b) for b in group))
-            acknowledged = inside[-1]
-            inside.clear()
-        disk.moment = lambda: None
+            acknowledged = in_flight[-1]
+            in_flight.clear()
+        disk.before_change = lambda: None
         await store.close()
 
     try:
         asyncio.run(run())
     except (StoreFailed, StoreCorrupted) as error:  # on a disk that did all it was asked for
-        count.judge(None, [{}], f"seed {seed}: {error}")
+        count.check_state(None, [{}], f"seed {seed}: {error}")
     return count
 
 
 # --- real processes ---
-WRITERS, KEPT = 16, 40
+WRITER_COUNT, ROWS_PER_WRITER = 16, 40
 
 
-def proof(writer: int, number: int) -> bytes:
+def expected_value(writer: int, number: int) -> bytes:
     """The value that a writer's batch of this number must have."""
     return xxh3_64_digest(b"%d/%d" % (writer, number)) * (1 + number % 20)
 
 
-async def write_until_killed(folder: Path, aside: bool) -> None:
+async def write_until_killed(folder: Path, background_sync: bool) -> None:
     """The process that is killed: sixteen writers, each with one batch over three tables under way at a time."""
-    disk = BackgroundSyncDisk(folder) if aside else Disk(folder)
+    disk = BackgroundSyncDisk(folder) if background_sync else Disk(folder)
     store = await open_store(disk, silent(), asyncio.get_running_loop().time, Options(segment_bytes=64 * 1024))
 
     async def one(writer: int) -> None:
@@ -291,20 +291,20 @@
             await store.commit(
                 [
                     Put("first", name, b"%d" % number),
-                    Put("rows", b"%d/%d" % (writer, number), proof(writer, number)),
-                    Delete("rows", b"%d/%d" % (writer, number - KEPT)),
+                    Put("rows", b"%d/%d" % (writer, number), expected_value(writer, number)),
+                    Delete("rows", b"%d/%d" % (writer, number - ROWS_PER_WRITER)),
                     Put("second", name, b"%d" % number),
                 ]
             )
             os.write(1, b"%d %d\n" % (writer, number))
 
-    await asyncio.gather(*(one(w) for w in range(WRITERS)))
+    await asyncio.gather(*(one(w) for w in range(WRITER_COUNT)))
 
 
-async def kill_repeatedly(seed: int, kills: int, folder: Path, told: Callable[[], None] = lambda: None) -> Count:
+async def kill_repeatedly(seed: int, kills: int, folder: Path, on_kill: Callable[[], None] = lambda: None) -> Count:
     """Kill the writing process at random moments; what it had acknowledged on its pipe is looked for."""
     rng, count = random.Random(seed), Count()
-    acknowledged = dict.fromkeys(range(WRITERS), 0)
+    acknowledged = dict.fromkeys(range(WRITER_COUNT), 0)
     for kill in range(kills):
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -315,8 +315,8 @@
             stdout=asyncio.subprocess.PIPE,
         )
         assert process.stdout is not None
-        lines, most = 0, rng.choice([rng.randint(0, 40), rng.randint(100, 2000)])
-        while lines < most and (line := await process.stdout.readline()):
+        lines, max_lines = 0, rng.choice([rng.randint(0, 40), rng.randint(100, 2000)])
+        while lines < max_lines and (line := await process.stdout.readline()):
             who, _, last = line.partition(b" ")
             acknowledged[int(who)], lines = int(last), lines + 1
         process.kill()
@@ -326,7 +326,7 @@
                 acknowledged[int(who)] = int(last)
         await process.wait()
         count.kills += 1
-        told()
+        on_kill()
         try:
             store = await open_store(Disk(folder), silent(), asyncio.get_running_loop().time)
         except StoreCorrupted as damage:
@@ -337,7 +337,10 @@
             name = b"%d" % writer
             first, second = (int(store.get(t, name) or b"0") for t in ("first", "second"))
             rows = {key: value for key, value in store.scan("rows", name + b"/", name + b"0")}
-            wanted = {b"%d/%d" % (writer, n): proof(writer, n) for n in range(max(first - KEPT, 0) + 1, first + 1)}
+            wanted = {
+                b"%d/%d" % (writer, n): expected_value(writer, n)
+                for n in range(max(first - ROWS_PER_WRITER, 0) + 1, first + 1)
+            }
             count.lost += first < number
             count.invented += first > number + 1
             count.half_shown += first != second or rows != wanted
--- a/otterquay/store/definitions.py
+++ b/otterquay/store/definitions.py
@@ -7,10 +7,13 @@
 from otterquay.store import format as fm
 from otterquay.store.files import Files
 
-PART, IDENTITY = ".part", "format"
-GROUP_MOST = 4 * 1024 * 1024  # bytes of batches after which a sync takes no further ones
+PART_SUFFIX, IDENTITY_FILE = ".part", "format"
+MAX_GROUP_BYTES = 4 * 1024 * 1024  # bytes of batches after which a sync takes no further ones
 MAX_PENDING_BYTES = 128 * 1024 * 1024  # bytes of batches that may wait for the disk; one further behind fails
-MOVE_LEAST, MOVE_LOOKS = 64 * 1024, 512  # bytes that a step of compaction may move, entries it may look at
+MIN_MOVE_LIMIT_BYTES, MAX_STEP_ENTRIES = (
+    64 * 1024,
+    512,
+)  # bytes that a step of compaction may move, entries it may look at
 
 
 class StoreCorrupted(Exception):
@@ -32,7 +35,7 @@
     table: str
     key: bytes
     value: bytes
-    life_s: float | None = None
+    ttl_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,10 +79,10 @@
     """A segment with its head, whose first record will have this sequence number; it lasts when this returns."""
     name = segment_name(number)
     files.create(name)
-    files.append(name, fm.write_head(fm.SEGMENT, number, first))
+    files.append(name, fm.write_header(fm.SEGMENT, number, first))
     await files.sync(name)
     await files.sync_folder()
 
 
 # the last place (offset << 32 | length) and end of life by key, None for a removed one
-Ops = dict[str, dict[bytes, tuple[int, int] | None]]
+KeyChanges = dict[str, dict[bytes, tuple[int, int] | None]]
--- a/otterquay/store/engine.py
+++ b/otterquay/store/engine.py
@@ -20,12 +20,12 @@
 from otterquay.logs import Logger
 from otterquay.store import format as fm
 from otterquay.store.definitions import (
-    GROUP_MOST,
+    MAX_GROUP_BYTES,
     MAX_PENDING_BYTES,
-    MOVE_LEAST,
-    MOVE_LOOKS,
+    MAX_STEP_ENTRIES,
+    MIN_MOVE_LIMIT_BYTES,
     Change,
-    Ops,
+    KeyChanges,
     Options,
     Put,
     Segment,
@@ -37,7 +37,7 @@
 )
 from otterquay.store.files import Files
 from otterquay.store.hints import write_hint
-from otterquay.store.index import Index, Undo, place, unpack
+from otterquay.store.index import Index, Undo, pack_place, unpack_place
 from otterquay.store.view import View
 
 
@@ -51,60 +51,60 @@
         self.segments: dict[int, Segment] = {}
         self.active_segment = self.sequence = 0  # of the segment that is written; of the last record
         self.oldest = 1
-        self.trimmed = 1  # as the newest lasting TRIM has it: views keep segments before `oldest`
+        self.trimmed_to = 1  # as the newest lasting TRIM has it: views keep segments before `oldest`
         self.truncated_bytes = 0
         self.failed: str | None = None
-        self.damage: StoreCorrupted | OSError | None = None  # why compaction stopped
-        self.time = self.clock_at = 0  # ms of store time at the last look, and what the clock said then
-        self.ops: Ops = {}
+        self.compaction_error: StoreCorrupted | OSError | None = None  # why compaction stopped
+        self.time = self.last_clock = 0  # ms of store time at the last look, and what the clock said then
+        self.key_changes: KeyChanges = {}
         self.moved_bytes = self.written_bytes = 0
         self._pending: deque[tuple[Sequence[Change], asyncio.Future[None], int]] = deque()
         self._pending_bytes = 0  # bytes of those
         self._writer: asyncio.Task[None] | None = None
-        self._others: set[asyncio.Task[None]] = set()
-        self._cursor: Iterator[tuple[fm.Entry, int]] | None = None
-        self._until = 0  # compaction is asked for up to this segment
-        self._compacting: list[asyncio.Future[None]] = []
-        self._doomed: list[int] = []
-        self._last_group = 0
+        self._hint_tasks: set[asyncio.Task[None]] = set()
+        self._compaction_cursor: Iterator[tuple[fm.Entry, int]] | None = None
+        self._compact_up_to = 0  # compaction is asked for up to this segment
+        self._compaction_waiters: list[asyncio.Future[None]] = []
+        self._removable_segments: list[int] = []
+        self._last_group_bytes = 0
 
     # --- time ---
     def now(self) -> int:
         """Store time, ms: goes on as far as the clock went forward since the last look."""
         clock = int(self._clock() * 1e3)
-        self.time += max(clock - self.clock_at, 0)
-        self.clock_at = clock
+        self.time += max(clock - self.last_clock, 0)
+        self.last_clock = clock
         return self.time
 
     # --- reading ---
     def get(self, table: str, key: bytes) -> bytes | None:
         """The value of a key, None when there is none. OSError or Damaged: it cannot be read; others still can."""
         at = self.index.find(table, key, self.now())
-        return None if at is None else self.value(at)
+        return None if at is None else self.read_value(at)
 
-    def value(self, at: int) -> bytes:
+    def read_value(self, at: int) -> bytes:
         """The value at a place."""
         return self._entry(at).value or b""
 
     def _entry(self, at: int) -> fm.Entry:
-        number, offset, length = unpack(at)
+        number, offset, length = unpack_place(at)
         data = self.files.read(segment_name(number), offset, length)
         try:
             return fm.read_entry(data, 0, number, offset)
-        except fm.Bad as bad:
-            raise StoreCorrupted(segment_name(number), bad.offset, bad.reason) from None
+        except fm.FormatError as error:
+            raise StoreCorrupted(segment_name(number), error.offset, error.reason) from None
 
     def view(self) -> View:
         """The store as it is now, for as long as the view is open."""
         undo = Undo(self.now())
-        self.index.undo.append(undo)
+        self.index.open_views.append(undo)
         return View(self, undo)
 
-    def release(self, undo: Undo) -> None:
+    def close_view(self, undo: Undo) -> None:
         """A view was closed; segments that waited for it can go."""
-        self.index.undo.remove(undo)
-        if self._doomed and not self.index.undo:
-            self._wake()
+        self.index.open_views.remove(undo)
+        if self._removable_segments and not self.index.open_views:
+            self._ensure_writer()
 
     def scan(self, table: str, first: bytes = b"", before: bytes | None = None) -> Iterator[tuple[bytes, bytes]]:
         """Keys from `first` to under `before` in order, as they were when the first was asked for."""
@@ -116,7 +116,7 @@
         now = self.now()
         while self.index.expire(now, 10_000):
             pass
-        return {name: len(t.at) for name, t in sorted(self.index.tables.items()) if t.at}
+        return {name: len(t.places) for name, t in sorted(self.index.tables.items()) if t.places}
 
     def total_bytes(self) -> int:
         """Bytes of all segments."""
@@ -128,27 +128,27 @@
 
         ValueError: a change is over the limits, nothing is written. StoreFailed: it may be there or not.
         """
-        await self._take(changes)
+        await self._enqueue(changes)
 
     def submit(self, changes: Sequence[Change]) -> None:
         """As `commit`, without waiting: what fails is in the log, and the store is read-only then."""
         with contextlib.suppress(StoreFailed):
-            self._take(changes).add_done_callback(lambda done: done.exception())
+            self._enqueue(changes).add_done_callback(lambda done: done.exception())
 
-    def _take(self, changes: Sequence[Change]) -> asyncio.Future[None]:
+    def _enqueue(self, changes: Sequence[Change]) -> asyncio.Future[None]:
         if self.failed:
             raise StoreFailed(self.failed)
         size = 0
         for change in changes:
             value = change.value if isinstance(change, Put) else b""
-            if not 0 < len(change.table.encode()) <= fm.TABLE_MOST:
-                raise ValueError(f"a table's name takes 1 to {fm.TABLE_MOST} bytes: {change.table[:40]!r}")
-            if len(change.key) > fm.KEY_MOST or len(value) > fm.VALUE_MOST:
+            if not 0 < len(change.table.encode()) <= fm.MAX_TABLE_BYTES:
+                raise ValueError(f"a table's name takes 1 to {fm.MAX_TABLE_BYTES} bytes: {change.table[:40]!r}")
+            if len(change.key) > fm.MAX_KEY_BYTES or len(value) > fm.MAX_VALUE_BYTES:
                 raise ValueError(
                     f"a key of {len(change.key)} bytes and a value of {len(value)}: at most "
-                    f"{fm.KEY_MOST} and {fm.VALUE_MOST} are taken"
+                    f"{fm.MAX_KEY_BYTES} and {fm.MAX_VALUE_BYTES} are taken"
                 )
-            size += fm.ENTRY_SIZE + fm.TABLE_MOST + len(change.key) + len(value)
+            size += fm.ENTRY_HEADER_SIZE + fm.MAX_TABLE_BYTES + len(change.key) + len(value)
         if size > fm.MAX_BATCH_BYTES:
             raise ValueError(f"a batch of about {size} bytes, at most {fm.MAX_BATCH_BYTES} are taken")
         if (
@@ -159,145 +159,149 @@
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._pending.append((list(changes), done, size))
         self._pending_bytes += size
-        self._wake()
+        self._ensure_writer()
         return done
 
     async def compact(self) -> None:
         """Write all that is alive in today's segments again and remove them. StoreFailed; Damaged, OSError."""
         if self.failed:
             raise StoreFailed(self.failed)
-        self._until = max(self._until, self.active_segment)
+        self._compact_up_to = max(self._compact_up_to, self.active_segment)
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._compacting.append(done)
-        self._wake()
+        self._compaction_waiters.append(done)
+        self._ensure_writer()
         await done
         if self.failed:
             raise StoreFailed(self.failed)
-        if self.damage:
-            raise self.damage
+        if self.compaction_error:
+            raise self.compaction_error
 
     async def close(self) -> None:
         """Write what is pending, then let go of the files."""
         while self._writer and not self._writer.done():
             await asyncio.wait([self._writer])
         self.failed = self.failed or "closed"
-        for task in self._others:
+        for task in self._hint_tasks:
             task.cancel()
         await self.files.close()
 
-    async def adopt(self, entries: Sequence[fm.Entry]) -> None:
+    async def commit_entries(self, entries: Sequence[fm.Entry]) -> None:
         """Commit entries as they are, with their ends of life in store time."""
-        for i in range(0, len(entries), MOVE_LOOKS):
+        for i in range(0, len(entries), MAX_STEP_ENTRIES):
             now = self.now()
             await self.commit(
                 [
-                    Put(e.table, e.key, e.value or b"", (e.ends - now) / 1e3 if e.ends else None)
-                    for e in entries[i : i + MOVE_LOOKS]
+                    Put(e.table, e.key, e.value or b"", (e.expires_at - now) / 1e3 if e.expires_at else None)
+                    for e in entries[i : i + MAX_STEP_ENTRIES]
                 ]
             )
 
-    def _wake(self) -> None:
+    def _ensure_writer(self) -> None:
         if (self._writer is None or self._writer.done()) and not self.failed:
-            self._writer = asyncio.get_running_loop().create_task(self._write())
+            self._writer = asyncio.get_running_loop().create_task(self._run_writer())
 
-    def _behind(self) -> bool:
+    def _needs_compaction(self) -> bool:
         """Whether compaction has work: asked for, or more space taken than the options allow."""
-        if self.damage:
+        if self.compaction_error:
             return False
-        if self.oldest <= self._until:
+        if self.oldest <= self._compact_up_to:
             return True
         total = sum(s.size for n, s in self.segments.items() if n >= self.oldest)
         return self.oldest < self.active_segment and total > (
             self.options.slack * self.index.live_bytes + 2 * self.options.segment_bytes
         )
 
-    async def _write(self) -> None:
+    async def _run_writer(self) -> None:
         """Write groups, one at a time, and what compaction moves, until there is nothing left to do."""
         try:
-            while not self.failed and (self._pending or self._behind() or (self._doomed and not self.index.undo)):
-                await self._group()
+            while not self.failed and (
+                self._pending
+                or self._needs_compaction()
+                or (self._removable_segments and not self.index.open_views)
+            ):
+                await self._write_group()
                 if self.failed:
                     break
-                if self._doomed and not self.index.undo:
-                    await self._remove_doomed()
+                if self._removable_segments and not self.index.open_views:
+                    await self._remove_compacted_segments()
                 if (
                     self.segments[self.active_segment].size >= self.options.segment_bytes
-                    or self.active_segment <= self._until
+                    or self.active_segment <= self._compact_up_to
                 ):
-                    await self._roll()
-                if self._compacting and (self.damage or self.oldest > self._until):
-                    self._compacted()
+                    await self._roll_segment()
+                if self._compaction_waiters and (self.compaction_error or self.oldest > self._compact_up_to):
+                    self._finish_compaction()
                 await asyncio.sleep(0)
         except (OSError, ValueError) as error:
             self._fail(error, [])
-        self._compacted()
+        self._finish_compaction()
 
-    def _compacted(self) -> None:
-        for future in self._compacting:
+    def _finish_compaction(self) -> None:
+        for future in self._compaction_waiters:
             if not future.done():
                 future.set_result(None)
-        self._compacting.clear()
+        self._compaction_waiters.clear()
 
-    async def _group(self) -> None:
+    async def _write_group(self) -> None:
         now = self.now()
-        self.index.expire(now, MOVE_LOOKS)
-        moves = self._moves() if self._behind() else []
+        self.index.expire(now, MAX_STEP_ENTRIES)
+        moves = self._next_moves() if self._needs_compaction() else []
         group, size = [], 0
-        while self._pending and size < GROUP_MOST:
-            changes, future, waited = self._pending.popleft()
+        while self._pending and size < MAX_GROUP_BYTES:
+            changes, future, size_estimate = self._pending.popleft()
             group.append((changes, future))
-            self._pending_bytes -= waited
+            self._pending_bytes -= size_estimate
             size += sum(len(c.key) + (len(c.value) if isinstance(c, Put) else 0) for c in group[-1][0])
         if not group and not moves:
             return
-        number, start = self.active_segment, self.segments[self.active_segment].size + fm.RECORD_SIZE
+        number, start = self.active_segment, self.segments[self.active_segment].size + fm.RECORD_HEADER_SIZE
         parts: list[bytes] = []
         done: list[tuple[str, bytes, int | None, int, bool]] = []  # table, key, place, end of life, whether moved
         try:
             for old, was in moves:
-                name, ends = old.table, old.ends
-                parts.append(fm.write_entry(number, name.encode(), old.key, old.value, ends))
-                done.append((name, old.key, place(number, start, len(parts[-1])), ends, True))
+                name, expires_at = old.table, old.expires_at
+                parts.append(fm.write_entry(number, name.encode(), old.key, old.value, expires_at))
+                done.append((name, old.key, pack_place(number, start, len(parts[-1])), expires_at, True))
                 start += len(parts[-1])
                 self.moved_bytes += was & 0xFFFFFFFF
             for changes, _ in group:
                 for change in changes:
                     put = isinstance(change, Put)
-                    life = change.life_s if isinstance(change, Put) else None
-                    ends = 0 if life is None else max(now + int(life * 1e3), 1)
+                    ttl_s = change.ttl_s if isinstance(change, Put) else None
+                    expires_at = 0 if ttl_s is None else max(now + int(ttl_s * 1e3), 1)
                     parts.append(
                         fm.write_entry(
                             number,
                             change.table.encode(),
                             change.key,
                             change.value if isinstance(change, Put) else None,
-                            ends,
+                            expires_at,
                         )
                     )
-                    at = place(number, start, len(parts[-1])) if put else None
-                    done.append((change.table, change.key, at, ends, False))
+                    at = pack_place(number, start, len(parts[-1])) if put else None
+                    done.append((change.table, change.key, at, expires_at, False))
                     start += len(parts[-1])
             await self.append(fm.GROUP, b"".join(parts))
         except (OSError, ValueError) as error:
             return self._fail(error, [f for _, f in group])
-        for name, key, at, ends, moved in done:
+        for name, key, at, expires_at, moved in done:
             if at is None:
-                self.index.drop(name, key)
+                self.index.remove(name, key)
             elif moved:
-                self.index.moved(name, key, at)
+                self.index.relocate(name, key, at)
             else:
-                self.index.put(name, key, at, ends)
-            self.ops.setdefault(name, {})[key] = None if at is None else (at & (1 << 64) - 1, ends)
+                self.index.put(name, key, at, expires_at)
+            self.key_changes.setdefault(name, {})[key] = None if at is None else (at & (1 << 64) - 1, expires_at)
         for _, future in group:
             if not future.done():
                 future.set_result(None)
-        self._last_group = size
+        self._last_group_bytes = size
 
     async def append(self, kind: int, content: bytes) -> None:
         """One record and its sync. Nothing is appended to a segment before the last record is synced."""
         name, segment = segment_name(self.active_segment), self.segments[self.active_segment]
         sequence = self.sequence + (kind != fm.CLOSE)
-        data = fm.write_record(self.active_segment, kind, sequence, self.time, max(self.clock_at, 0), content)
+        data = fm.write_record(self.active_segment, kind, sequence, self.time, max(self.last_clock, 0), content)
         self.files.append(name, data)
         await self.files.sync(name)
         self.sequence = sequence
@@ -313,33 +317,35 @@
         self._pending.clear()
         self._pending_bytes = 0
 
-    async def _roll(self) -> None:
+    async def _roll_segment(self) -> None:
         """Close the segment. The next one lasts before the record that says it must be there."""
         number, first = self.active_segment + 1, self.sequence + 1
         await new_segment(self.files, number, first)
         await self.append(fm.CLOSE, b"")
-        ops, closed, self.ops = self.ops, self.active_segment, {}
+        key_changes, closed, self.key_changes = self.key_changes, self.active_segment, {}
         self.active_segment = number
-        self.segments[number] = Segment(fm.HEAD_SIZE, first)
-        task = asyncio.get_running_loop().create_task(write_hint(self, closed, ops, self.sequence, self.trimmed))
-        self._others.add(task)
-        task.add_done_callback(self._others.discard)
+        self.segments[number] = Segment(fm.HEADER_SIZE, first)
+        task = asyncio.get_running_loop().create_task(
+            write_hint(self, closed, key_changes, self.sequence, self.trimmed_to)
+        )
+        self._hint_tasks.add(task)
+        task.add_done_callback(self._hint_tasks.discard)
 
     # --- compaction: the oldest segment's entries that are alive are written again at the end, then it goes ---
-    def _moves(self) -> list[tuple[fm.Entry, int]]:
+    def _next_moves(self) -> list[tuple[fm.Entry, int]]:
         """What the next step moves: at least as much as writers write, so that it is not outrun."""
         if self.oldest >= self.active_segment:
             return []
-        if self._cursor is None:
-            self._cursor = self._alive(self.oldest)
-        most, size = max(MOVE_LEAST, 2 * self._last_group), 0
+        if self._compaction_cursor is None:
+            self._compaction_cursor = self._live_entries(self.oldest)
+        most, size = max(MIN_MOVE_LIMIT_BYTES, 2 * self._last_group_bytes), 0
         found: list[tuple[fm.Entry, int]] = []
         try:
-            for _ in range(MOVE_LOOKS):
-                entry = next(self._cursor, None)
+            for _ in range(MAX_STEP_ENTRIES):
+                entry = next(self._compaction_cursor, None)
                 if entry is None:
-                    self._cursor = None
-                    self._doomed.append(self.oldest)
+                    self._compaction_cursor = None
+                    self._removable_segments.append(self.oldest)
                     self.oldest += 1
                     break
                 if entry[1]:
@@ -348,29 +354,29 @@
                     if size >= most:
                         break
         except (StoreCorrupted, OSError) as error:
-            self._cursor, self.damage = None, error
+            self._compaction_cursor, self.compaction_error = None, error
             self.log.error("compaction_stopped", reason=str(error))
         return found
 
-    def _alive(self, number: int) -> Iterator[tuple[fm.Entry, int]]:
+    def _live_entries(self, number: int) -> Iterator[tuple[fm.Entry, int]]:
         """Each entry of a segment and its place, 0 for one that no longer counts when it is reached."""
         name = segment_name(number)
         try:
             for record in fm.records(self.files.read(name), number):
                 if record.kind == fm.GROUP:
                     for entry in fm.entries(record, number):
-                        at = place(number, entry.start, entry.end - entry.start)
+                        at = pack_place(number, entry.start, entry.end - entry.start)
                         table = self.index.tables.get(entry.table)
-                        yield entry, at if table and table.at.get(entry.key) == at else 0
-        except fm.Bad as bad:
-            raise StoreCorrupted(name, bad.offset, bad.reason) from None
+                        yield entry, at if table and table.places.get(entry.key) == at else 0
+        except fm.FormatError as error:
+            raise StoreCorrupted(name, error.offset, error.reason) from None
 
-    async def _remove_doomed(self) -> None:
+    async def _remove_compacted_segments(self) -> None:
         """Say which segment is the oldest, then remove those before it, the oldest first and each for good."""
-        doomed, self._doomed = self._doomed, []
-        await self.append(fm.TRIM, fm.trim_content(doomed[-1] + 1))
-        self.trimmed = doomed[-1] + 1
-        for number in doomed:
+        removable, self._removable_segments = self._removable_segments, []
+        await self.append(fm.TRIM, fm.write_trim(removable[-1] + 1))
+        self.trimmed_to = removable[-1] + 1
+        for number in removable:
             await self.remove_segment(number)
 
     async def remove_segment(self, number: int) -> None:
--- a/otterquay/store/format1.py
+++ b/otterquay/store/format_v1.py
@@ -16,12 +16,12 @@
 from otterquay.store.files import numbered
 
 MAGIC, VERSION = b"oqstore\0", 1
-_HEAD = struct.Struct("<8sHBxIQQ")  # magic, version, kind, reserved, number, tag
-_RECORD = struct.Struct("<IBxxxQQQ")  # length, kind, sequence, synced, tag
+_FILE_HEADER = struct.Struct("<8sHBxIQQ")  # magic, version, kind, reserved, number, tag
+_RECORD_HEADER = struct.Struct("<IBxxxQQQ")  # length, kind, sequence, synced, tag
 LOG, BASE = 1, 2
 BATCH, PIECE, END = 1, 2, 3
-HEAD_SIZE, RECORD_SIZE = _HEAD.size, _RECORD.size
-CONTENT_MOST = 64 * 1024 * 1024
+HEADER_SIZE, RECORD_HEADER_SIZE = _FILE_HEADER.size, _RECORD_HEADER.size
+MAX_CONTENT_BYTES = 64 * 1024 * 1024
 
 Change = tuple[str, bytes, bytes | None]  # table, key, value; None removes
 
@@ -38,7 +38,7 @@
     end: int
 
 
-class Bad(Exception):
+class FormatError(Exception):
     """Bytes at `offset` that are no whole record or head."""
 
     def __init__(self, offset: int, reason: str) -> None:
@@ -46,48 +46,51 @@
         self.offset, self.reason = offset, reason
 
 
-def _tag(number: int, kind: int, sequence: int, synced: int, content: bytes) -> int:
+def _record_checksum(number: int, kind: int, sequence: int, synced: int, content: bytes) -> int:
     head = struct.pack("<QBQQI", number, kind, sequence, synced, len(content))
     return xxhash.xxh3_64_intdigest(head + content)
 
 
-def write_head(kind: int, number: int) -> bytes:
+def write_header(kind: int, number: int) -> bytes:
     """The head of a file."""
-    tag = xxhash.xxh3_64_intdigest(struct.pack("<HBQ", VERSION, kind, number))
-    return _HEAD.pack(MAGIC, VERSION, kind, 0, number, tag)
+    checksum = xxhash.xxh3_64_intdigest(struct.pack("<HBQ", VERSION, kind, number))
+    return _FILE_HEADER.pack(MAGIC, VERSION, kind, 0, number, checksum)
 
 
-def read_head(data: bytes, kind: int, number: int) -> None:
+def read_header(data: bytes, kind: int, number: int) -> None:
     """Check a head; Bad where it is not that of this file, or of a later version."""
-    if len(data) < HEAD_SIZE:
-        raise Bad(0, "the head is cut short")
-    magic, version, found, reserved, named, tag = _HEAD.unpack_from(data)
+    if len(data) < HEADER_SIZE:
+        raise FormatError(0, "the head is cut short")
+    magic, version, found, reserved, named, checksum = _FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Bad(0, "not a store's file")
+        raise FormatError(0, "not a store's file")
     if version > VERSION:
-        raise Bad(0, f"written by version {version}, this one reads up to {VERSION}")
-    whole = data[:HEAD_SIZE] == write_head(kind, number)
-    if not whole or (found, named, reserved) != (kind, number, 0) or not tag:
-        raise Bad(0, "the head is damaged or another file's")
+        raise FormatError(0, f"written by version {version}, this one reads up to {VERSION}")
+    whole = data[:HEADER_SIZE] == write_header(kind, number)
+    if not whole or (found, named, reserved) != (kind, number, 0) or not checksum:
+        raise FormatError(0, "the head is damaged or another file's")
 
 
 def read_record(data: bytes, offset: int, number: int) -> Record:
     """The record at `offset`, or Bad."""
-    if offset + RECORD_SIZE > len(data):
-        raise Bad(offset, "a record's head is cut short")
-    length, kind, sequence, synced, tag = _RECORD.unpack_from(data, offset)
-    end = offset + RECORD_SIZE + length
-    if length > CONTENT_MOST or end > len(data):
-        raise Bad(offset, "a record is cut short")
-    content = data[offset + RECORD_SIZE : end]
-    if data[offset + 5 : offset + 8] != b"\0\0\0" or _tag(number, kind, sequence, synced, content) != tag:
-        raise Bad(offset, "a record's tag does not fit")
+    if offset + RECORD_HEADER_SIZE > len(data):
+        raise FormatError(offset, "a record's head is cut short")
+    length, kind, sequence, synced, checksum = _RECORD_HEADER.unpack_from(data, offset)
+    end = offset + RECORD_HEADER_SIZE + length
+    if length > MAX_CONTENT_BYTES or end > len(data):
+        raise FormatError(offset, "a record is cut short")
+    content = data[offset + RECORD_HEADER_SIZE : end]
+    if (
+        data[offset + 5 : offset + 8] != b"\0\0\0"
+        or _record_checksum(number, kind, sequence, synced, content) != checksum
+    ):
+        raise FormatError(offset, "a record's tag does not fit")
     return Record(kind, sequence, synced, msgspec.msgpack.decode(content, type=list[Change]), offset, end)
 
 
 def records(data: bytes, number: int) -> Iterator[Record]:
     """The records after the head, until the end; Bad at the first that is none."""
-    offset = HEAD_SIZE
+    offset = HEADER_SIZE
     while offset < len(data):
         record = read_record(data, offset, number)
         yield record
@@ -96,56 +99,56 @@
 
 def later_record(data: bytes, offset: int, number: int, sequence: int) -> int | None:
     """Where a whole record after `offset` stands that was written when `sequence` was synced, if any does."""
-    for at in range(offset + 1, len(data) - RECORD_SIZE + 1):
-        length, kind, _, synced, _ = _RECORD.unpack_from(data, at)
-        if kind == BATCH and synced >= sequence and at + RECORD_SIZE + length <= len(data):
+    for at in range(offset + 1, len(data) - RECORD_HEADER_SIZE + 1):
+        length, kind, _, synced, _ = _RECORD_HEADER.unpack_from(data, at)
+        if kind == BATCH and synced >= sequence and at + RECORD_HEADER_SIZE + length <= len(data):
             try:
                 read_record(data, at, number)
-            except (Bad, msgspec.MsgspecError):
+            except (FormatError, msgspec.MsgspecError):
                 continue
             return at
     return None
 
 
-def present(names: Sequence[str]) -> bool:
+def has_files(names: Sequence[str]) -> bool:
     """Whether files of this version are there."""
     return bool(numbered(names, ".base") or numbered(names, ".log"))
 
 
-def amounts(names: Sequence[str], read: Callable[[str], bytes]) -> dict[tuple[str, bytes], bytes]:
+def read_all(names: Sequence[str], read: Callable[[str], bytes]) -> dict[tuple[str, bytes], bytes]:
     """All that a folder of this version holds; Bad with the file's name in front of the reason."""
     bases, logs = numbered(names, ".base"), numbered(names, ".log")
-    upto, sequence, ended = bases[-1] if bases else 0, 0, not bases
+    base_number, sequence, ended = bases[-1] if bases else 0, 0, not bases
     held: dict[tuple[str, bytes], bytes] = {}
-    files = [(BASE, upto, f"{upto:016x}.base")] if bases else []
-    logs = [n for n in logs if n > upto]
+    files = [(BASE, base_number, f"{base_number:016x}.base")] if bases else []
+    logs = [n for n in logs if n > base_number]
     files += [(LOG, n, f"{n:016x}.log") for n in logs]
-    if logs != list(range(upto + 1, upto + 1 + len(logs))) or not logs:
-        raise Bad(0, f"{upto + 1:016x}.log: a segment is gone")
+    if logs != list(range(base_number + 1, base_number + 1 + len(logs))) or not logs:
+        raise FormatError(0, f"{base_number + 1:016x}.log: a segment is gone")
     for kind, number, name in files:
         data, good = read(name), 0
         try:
-            read_head(data, kind, number)
+            read_header(data, kind, number)
             for record in records(data, number):
                 if kind == LOG and (record.kind != BATCH or record.sequence != sequence + 1):
-                    raise Bad(record.start, f"sequence {record.sequence} after {sequence}")
+                    raise FormatError(record.start, f"sequence {record.sequence} after {sequence}")
                 for table, key, value in record.changes:
                     if value is None:
                         held.pop((table, key), None)
                     else:
                         held[table, key] = value
                 sequence, good, ended = record.sequence, record.end, ended or record.kind == END
-        except Bad as bad:
+        except FormatError as error:
             torn = (
                 number == logs[-1]
                 and kind == LOG
                 and (
-                    later_record(data, bad.offset, number, sequence + 1) is None
-                    and (good or len(data) <= HEAD_SIZE)
+                    later_record(data, error.offset, number, sequence + 1) is None
+                    and (good or len(data) <= HEADER_SIZE)
                 )
             )
             if not torn:
-                raise Bad(bad.offset, f"{name}: {bad.reason}") from None
+                raise FormatError(error.offset, f"{name}: {error.reason}") from None
         if not ended:
-            raise Bad(len(data), f"{name}: the base has no end")
+            raise FormatError(len(data), f"{name}: the base has no end")
     return held
--- a/otterquay/store/hints.py
+++ b/otterquay/store/hints.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from otterquay.store import format as fm
-from otterquay.store.definitions import Ops, Segment, StoreCorrupted, hint_name, segment_name
+from otterquay.store.definitions import KeyChanges, Segment, StoreCorrupted, hint_name, segment_name
 
 if TYPE_CHECKING:
     from otterquay.store.engine import Store
@@ -16,7 +16,7 @@
 HINT_KEYS = 2048  # keys in a piece of a hint; between pieces other work of the loop goes on
 
 
-async def write_hint(store: Store, number: int, ops: Ops, sequence: int, oldest: int) -> None:
+async def write_hint(store: Store, number: int, key_changes: KeyChanges, sequence: int, oldest: int) -> None:
     """Without sync or rename: a hint that is not whole, or not of its segment, is not taken.
 
     `oldest` is what a lasting TRIM says. Opening takes segments away on a hint's word, and a hint may be lost by a
@@ -27,8 +27,8 @@
         if segment is None:
             return
         store.files.create(name)
-        store.files.append(name, fm.write_head(fm.HINT, number, segment.first))
-        for table, changed in ops.items():
+        store.files.append(name, fm.write_header(fm.HINT, number, segment.first))
+        for table, changed in key_changes.items():
             keys = list(changed)
             for i in range(0, len(keys), HINT_KEYS):
                 if number not in store.segments or store.failed:
@@ -44,17 +44,17 @@
                     name,
                     fm.write_record(
                         number,
-                        fm.LISTED,
+                        fm.LISTING,
                         sequence,
                         store.time,
-                        max(store.clock_at, 0),
+                        max(store.last_clock, 0),
                         fm.write_listing(table, found, removed),
                     ),
                 )
                 await asyncio.sleep(0)
         closing = fm.write_closing(segment.size, sequence, oldest)
         store.files.append(
-            name, fm.write_record(number, fm.END, sequence, store.time, max(store.clock_at, 0), closing)
+            name, fm.write_record(number, fm.END, sequence, store.time, max(store.last_clock, 0), closing)
         )
     except OSError as error:  # the store is as good without it
         store.log.warning("hint_not_written", file=name, reason=str(error))
@@ -66,20 +66,20 @@
     found = list[tuple[fm.Listing, list[int]]]()
     try:
         data = store.files.read(name)
-        head = store.files.read(segment_name(number), 0, fm.HEAD_SIZE)
-        first = fm.read_head(data, fm.HINT, number)
-        if first != fm.read_head(head, fm.SEGMENT, number):
+        head = store.files.read(segment_name(number), 0, fm.HEADER_SIZE)
+        first = fm.read_header(data, fm.HINT, number)
+        if first != fm.read_header(head, fm.SEGMENT, number):
             return False
         closing, record = None, None
         for record in fm.records(data, number):
             if record.kind == fm.END:
                 closing = fm.read_closing(record.content)
-            elif record.kind == fm.LISTED and closing is None:
+            elif record.kind == fm.LISTING and closing is None:
                 listing, places = fm.read_listing(record.content)
                 found.append((listing, list(places)))
             else:
                 return False
-    except (fm.Bad, msgspec.MsgspecError, OSError, ValueError) as error:
+    except (fm.FormatError, msgspec.MsgspecError, OSError, ValueError) as error:
         store.log.warning("hint_not_taken", file=name, reason=str(error))
         return False
     if closing is None or record is None:
@@ -89,16 +89,16 @@
         raise StoreCorrupted(
             segment_name(number), min(size, closing.size), f"{size} bytes where {closing.size} were closed"
         )
-    begins(store, number, first)
+    check_sequence(store, number, first)
     for listing, at in found:
         store.index.load(listing.table, number, listing.keys, at, listing.ends, listing.removed)
     store.sequence, store.oldest = closing.sequence, max(store.oldest, closing.oldest)
-    store.time, store.clock_at = max(store.time, record.time), record.clock
+    store.time, store.last_clock = max(store.time, record.time), record.clock
     store.segments[number] = Segment(size, first)
     return True
 
 
-def begins(store: Store, number: int, first: int) -> None:
+def check_sequence(store: Store, number: int, first: int) -> None:
     """A segment follows on the one before it; Damaged where it does not."""
     if store.segments and first != store.sequence + 1:
         raise StoreCorrupted(segment_name(number), 0, f"begins with record {first} after {store.sequence}")
--- a/otterquay/store/begin.py
+++ b/otterquay/store/initialization.py
@@ -5,30 +5,37 @@
 from typing import TYPE_CHECKING
 
 from otterquay.store import format as fm
-from otterquay.store import format1
-from otterquay.store.definitions import GROUP_MOST, IDENTITY, PART, StoreCorrupted, new_segment, segment_name
+from otterquay.store import format_v1
+from otterquay.store.definitions import (
+    IDENTITY_FILE,
+    MAX_GROUP_BYTES,
+    PART_SUFFIX,
+    StoreCorrupted,
+    new_segment,
+    segment_name,
+)
 from otterquay.store.files import Files, numbered
 
 if TYPE_CHECKING:
     from otterquay.store.engine import Store
 
 
-async def complete(store: Store) -> None:
+async def initialize(store: Store) -> None:
     """Begin a store, finish a beginning or an upgrade that a crash cut off, and upgrade."""
     files = store.files
     names = files.names()
     for name in names:
-        if name.endswith(PART):
+        if name.endswith(PART_SUFFIX):
             files.remove(name)
     segments = numbered(names, ".seg")
-    if IDENTITY in names:
-        identity(files)
-        if format1.present(names):  # an upgrade had lasted, and they had not all gone
+    if IDENTITY_FILE in names:
+        check_identity(files)
+        if format_v1.has_files(names):  # an upgrade had lasted, and they had not all gone
             await _remove_old(files, names)
         return
-    old = format1.present(names)
-    if not old and segments and (segments != [1] or files.size(segment_name(1)) > fm.HEAD_SIZE):
-        raise StoreCorrupted(IDENTITY, 0, "the file that says what this folder is, is gone")
+    old = format_v1.has_files(names)
+    if not old and segments and (segments != [1] or files.size(segment_name(1)) > fm.HEADER_SIZE):
+        raise StoreCorrupted(IDENTITY_FILE, 0, "the file that says what this folder is, is gone")
     for number in segments:
         files.remove(segment_name(number))
     if segments:
@@ -37,41 +44,41 @@
         await _upgrade(store, names)
     else:
         await new_segment(files, 1, 1)
-    part = IDENTITY + PART
+    part = IDENTITY_FILE + PART_SUFFIX
     files.create(part)
-    files.append(part, fm.write_head(fm.IDENTITY, 0, 0))
+    files.append(part, fm.write_header(fm.IDENTITY, 0, 0))
     await files.sync(part)
-    files.rename(part, IDENTITY)
+    files.rename(part, IDENTITY_FILE)
     await files.sync_folder()
     if old:
         await _remove_old(files, names)
 
 
-def identity(files: Files) -> None:
+def check_identity(files: Files) -> None:
     """Damaged where the folder does not say that it is a store of a version that is known."""
     try:
-        fm.read_head(files.read(IDENTITY), fm.IDENTITY, 0)
-    except fm.Bad as bad:
-        raise StoreCorrupted(IDENTITY, bad.offset, bad.reason) from None
+        fm.read_header(files.read(IDENTITY_FILE), fm.IDENTITY, 0)
+    except fm.FormatError as error:
+        raise StoreCorrupted(IDENTITY_FILE, error.offset, error.reason) from None
 
 
 async def _upgrade(store: Store, names: list[str]) -> None:
     """Version 1: all that it holds goes into the first segment."""
     files, name = store.files, segment_name(1)
     try:
-        held = format1.amounts(names, files.read)
-    except format1.Bad as bad:
-        where, _, reason = bad.reason.partition(": ")
-        raise StoreCorrupted(where, bad.offset, f"version 1: {reason}") from None
+        held = format_v1.read_all(names, files.read)
+    except format_v1.FormatError as error:
+        where, _, reason = error.reason.partition(": ")
+        raise StoreCorrupted(where, error.offset, f"version 1: {reason}") from None
     files.create(name)
-    files.append(name, fm.write_head(fm.SEGMENT, 1, 1))
+    files.append(name, fm.write_header(fm.SEGMENT, 1, 1))
     content: list[bytes] = []
     size = sequence = 0
     items = list(held.items())
     for i, ((table, key), value) in enumerate(items):
         content.append(fm.write_entry(1, table.encode(), key, value))
         size += len(content[-1])
-        if size >= GROUP_MOST or i == len(items) - 1:
+        if size >= MAX_GROUP_BYTES or i == len(items) - 1:
             sequence += 1
             files.append(name, fm.write_record(1, fm.GROUP, sequence, 0, 0, b"".join(content)))
             content, size = [], 0
--- a/otterquay/store/recovery.py
+++ b/otterquay/store/recovery.py
@@ -17,9 +17,8 @@
 
 from otterquay.logs import Logger
 from otterquay.store import format as fm
-from otterquay.store.begin import complete, identity
 from otterquay.store.definitions import (
-    IDENTITY,
+    IDENTITY_FILE,
     Options,
     Segment,
     StoreCorrupted,
@@ -29,10 +28,11 @@
 )
 from otterquay.store.engine import Store
 from otterquay.store.files import Files, numbered
-from otterquay.store.hints import begins, load_hint
-from otterquay.store.index import place
+from otterquay.store.hints import check_sequence, load_hint
+from otterquay.store.index import pack_place
+from otterquay.store.initialization import check_identity, initialize
 
-LOOKS = 8  # times that reading beside a writer begins anew
+MAX_READ_ATTEMPTS = 8  # times that reading beside a writer begins anew
 
 
 async def open_store(
@@ -51,17 +51,17 @@
     if not read_only and not files.lock():
         raise StoreFailed("another process has this store open")
     try:
-        for attempt in range(LOOKS):
+        for attempt in range(MAX_READ_ATTEMPTS):
             store = Store(files, log, clock, options or Options())
             try:
                 if not read_only:
-                    await complete(store)
-                elif IDENTITY not in files.names():
+                    await initialize(store)
+                elif IDENTITY_FILE not in files.names():
                     raise StoreFailed("no store of this version is here")
                 await _recover(store, read_only, hints)
                 break
             except (StoreCorrupted, FileNotFoundError):  # a writer rolls or removes segments while they are read
-                if not read_only or attempt == LOOKS - 1:
+                if not read_only or attempt == MAX_READ_ATTEMPTS - 1:
                     raise
     except BaseException:
         await files.close()
@@ -74,7 +74,7 @@
 async def _recover(store: Store, read_only: bool, hints: bool) -> None:
     files = store.files
     names = files.names()
-    identity(files)
+    check_identity(files)
     numbers = numbered(names, ".seg")
     if not numbers:
         raise StoreCorrupted(segment_name(1), 0, "all segments are gone")
@@ -90,7 +90,7 @@
         store.active_segment = number
     if store.oldest < numbers[0]:
         raise StoreCorrupted(segment_name(store.oldest), 0, "the oldest segment is gone")
-    store.index.settle()
+    store.index.recount_live_bytes()
     store.now()
     if not read_only:
         # a process may have ended between writing and syncing, or a sync may have failed and left pages that only
@@ -104,10 +104,10 @@
         await files.sync_folder()
         stale = [number for number in numbers if number < store.oldest]
         if stale:  # a hint may have said so that an earlier version wrote ahead of its TRIM: the log says it first
-            await store.append(fm.TRIM, fm.trim_content(store.oldest))
+            await store.append(fm.TRIM, fm.write_trim(store.oldest))
         for number in stale:
             await store.remove_segment(number)
-    store.trimmed = store.oldest
+    store.trimmed_to = store.oldest
 
 
 async def _replay(store: Store, number: int, last: int, read_only: bool) -> tuple[int, int]:
@@ -115,28 +115,28 @@
     name, files = segment_name(number), store.files
     data = files.read(name)
     start, good, closed, first = 0, 0, False, 0
-    store.ops = {}
+    store.key_changes = {}
     store.active_segment = number
     try:
-        first = fm.read_head(data, fm.SEGMENT, number)
-        begins(store, number, first)
-        good = fm.HEAD_SIZE
+        first = fm.read_header(data, fm.SEGMENT, number)
+        check_sequence(store, number, first)
+        good = fm.HEADER_SIZE
         for record in fm.records(data, number):
             if closed or record.sequence != store.sequence + (record.kind != fm.CLOSE):
                 raise StoreCorrupted(name, record.start, f"record {record.sequence} after {store.sequence}")
             closed = record.kind == fm.CLOSE
             _apply(store, number, record)
             store.sequence, start, good = record.sequence, record.start, record.end
-            store.time, store.clock_at = max(store.time, record.time), record.clock
-    except fm.Bad as bad:
-        empty_after = number == last - 1 and files.size(segment_name(last)) <= fm.HEAD_SIZE
+            store.time, store.last_clock = max(store.time, record.time), record.clock
+    except fm.FormatError as error:
+        empty_after = number == last - 1 and files.size(segment_name(last)) <= fm.HEADER_SIZE
         torn = number == last or (empty_after and good)
         if good == 0:  # a head that no CLOSE vouches for was mended with the segment before it, unless one may not
-            torn = read_only and number == last and len(data) <= fm.HEAD_SIZE and bool(store.segments)
-        if not torn or (good and fm.next_record(data, bad.offset, number, store.sequence) is not None):
-            raise StoreCorrupted(name, bad.offset, bad.reason) from None
+            torn = read_only and number == last and len(data) <= fm.HEADER_SIZE and bool(store.segments)
+        if not torn or (good and fm.next_record(data, error.offset, number, store.sequence) is not None):
+            raise StoreCorrupted(name, error.offset, error.reason) from None
         store.truncated_bytes += len(data) - good
-        store.log.warning("store_tail_cut", file=name, offset=good, bytes=len(data) - good, reason=bad.reason)
+        store.log.warning("store_tail_cut", file=name, offset=good, bytes=len(data) - good, reason=error.reason)
         if not read_only:
             files.truncate(name, good)
             await files.sync(name)
@@ -144,7 +144,7 @@
     if closed and number == last:
         raise StoreCorrupted(segment_name(number + 1), 0, "the segment after a closed one is gone")
     if not closed and number != last:
-        if number != last - 1 or files.size(segment_name(last)) > fm.HEAD_SIZE:
+        if number != last - 1 or files.size(segment_name(last)) > fm.HEADER_SIZE:
             raise StoreCorrupted(name, good, "the segment was not closed and the next one is in use")
         if not read_only:  # a crash came between the next segment and the CLOSE, or before the next one lasted
             await _begin_segment(store, last)
@@ -156,7 +156,7 @@
 async def _begin_segment(store: Store, number: int) -> None:
     """The next segment is there with its head, and lasts."""
     name, files = segment_name(number), store.files
-    head = fm.write_head(fm.SEGMENT, number, store.sequence + 1)
+    head = fm.write_header(fm.SEGMENT, number, store.sequence + 1)
     found = files.read(name)
     if len(found) < len(head) or found == bytes(len(head)):
         files.truncate(name, 0)
@@ -167,13 +167,13 @@
 
 def _apply(store: Store, number: int, record: fm.Record) -> None:
     if record.kind == fm.TRIM:
-        store.oldest = max(store.oldest, fm.trim(record))
+        store.oldest = max(store.oldest, fm.read_trim(record))
     elif record.kind == fm.GROUP:
         for entry in fm.entries(record, number):
-            spot = entry.start << 32 | entry.end - entry.start
+            location = entry.start << 32 | entry.end - entry.start
             if entry.value is None:
-                store.index.drop(entry.table, entry.key)
-                store.ops.setdefault(entry.table, {})[entry.key] = None
+                store.index.remove(entry.table, entry.key)
+                store.key_changes.setdefault(entry.table, {})[entry.key] = None
             else:
-                store.index.put(entry.table, entry.key, place(number, 0, 0) | spot, entry.ends)
-                store.ops.setdefault(entry.table, {})[entry.key] = (spot, entry.ends)
+                store.index.put(entry.table, entry.key, pack_place(number, 0, 0) | location, entry.expires_at)
+                store.key_changes.setdefault(entry.table, {})[entry.key] = (location, entry.expires_at)
--- a/otterquay/store/salvage.py
+++ b/otterquay/store/salvage.py
@@ -7,9 +7,9 @@
 
 from otterquay.logs import Logger
 from otterquay.store import format as fm
-from otterquay.store.definitions import IDENTITY, StoreFailed, segment_name
+from otterquay.store.definitions import IDENTITY_FILE, StoreFailed, segment_name
 from otterquay.store.files import Files, numbered
-from otterquay.store.recovery import LOOKS, open_store
+from otterquay.store.recovery import MAX_READ_ATTEMPTS, open_store
 
 
 @dataclass(slots=True)
@@ -29,24 +29,24 @@
     report = Report()
     sequence: int | None = None
     for number in numbered(files.names(), ".seg"):
-        sequence = _read_whole(files, number, report, sequence, lambda entry: None)
+        sequence = _read_segment(files, number, report, sequence, lambda entry: None)
     return report
 
 
-def _read_whole(
-    files: Files, number: int, report: Report, sequence: int | None, take: Callable[[fm.Entry], None]
+def _read_segment(
+    files: Files, number: int, report: Report, sequence: int | None, on_entry: Callable[[fm.Entry], None]
 ) -> int | None:
-    name, data, at = segment_name(number), files.read(segment_name(number)), fm.HEAD_SIZE
+    name, data, at = segment_name(number), files.read(segment_name(number)), fm.HEADER_SIZE
     try:
-        first = fm.read_head(data, fm.SEGMENT, number)
+        first = fm.read_header(data, fm.SEGMENT, number)
         sequence = first - 1 if sequence is None else sequence
-    except fm.Bad as bad:
-        report.damage.append((name, bad.offset, bad.reason))
+    except fm.FormatError as error:
+        report.damage.append((name, error.offset, error.reason))
     while at < len(data):
         try:
             record = fm.read_record(data, at, number)
-        except fm.Bad as bad:
-            report.damage.append((name, bad.offset, bad.reason))
+        except fm.FormatError as error:
+            report.damage.append((name, error.offset, error.reason))
             found = fm.next_record(data, at, number)
             if found is None:
                 break  # the newest segment's end may be a torn record
@@ -59,13 +59,13 @@
         try:
             for entry in fm.entries(record, number) if record.kind == fm.GROUP else ():
                 report.entries += 1
-                take(entry)
-        except fm.Bad as bad:
-            report.damage.append((name, bad.offset, bad.reason))
+                on_entry(entry)
+        except fm.FormatError as error:
+            report.damage.append((name, error.offset, error.reason))
     return sequence
 
 
-async def salvage(damaged: Files, to: Files, log: Logger, clock: Callable[[], float]) -> Report:
+async def salvage(damaged: Files, destination: Files, log: Logger, clock: Callable[[], float]) -> Report:
     """Put what is whole of a damaged store into a new one. The damaged one is left as it is.
 
     A change that is missing may have removed or replaced a key: then an older value shows, and `missing` says so.
@@ -73,33 +73,33 @@
     report, sequence = Report(), None
     held: dict[tuple[str, bytes], fm.Entry] = {}
 
-    def take(entry: fm.Entry) -> None:
+    def on_entry(entry: fm.Entry) -> None:
         if entry.value is None:
             held.pop((entry.table, entry.key), None)
         else:
             held[entry.table, entry.key] = entry
 
     for number in numbered(damaged.names(), ".seg"):
-        sequence = _read_whole(damaged, number, report, sequence, take)
-    store = await open_store(to, log, clock)
+        sequence = _read_segment(damaged, number, report, sequence, on_entry)
+    store = await open_store(destination, log, clock)
     if store.tables() or store.sequence:
         await store.close()
         raise StoreFailed("the folder to salvage into is not empty")
-    store.time, store.clock_at = report.time, report.clock
-    await store.adopt(list(held.values()))
+    store.time, store.last_clock = report.time, report.clock
+    await store.commit_entries(list(held.values()))
     await store.close()
     return report
 
 
-async def backup(files: Files, to: Files) -> tuple[int, int]:
+async def backup(files: Files, destination: Files) -> tuple[int, int]:
     """Copy a store that may be in use: all segments as far as they are; returns how many and their bytes.
 
     What was committed before is in the copy. A segment that compaction removes while it is copied begins it anew.
     The copy's newest record may be torn: opening cuts it. OSError; FileExistsError when there is something there.
     """
-    if to.names():
+    if destination.names():
         raise FileExistsError("the folder to copy to is not empty")
-    for _ in range(LOOKS):
+    for _ in range(MAX_READ_ATTEMPTS):
         numbers = numbered(files.names(), ".seg")
         try:
             sizes = {n: files.size(segment_name(n)) for n in numbers}  # opens each: from here on it can be read
@@ -110,14 +110,14 @@
         total = 0
         for n in numbers:
             name = segment_name(n)
-            to.create(name)
+            destination.create(name)
             for at in range(0, sizes[n], 1 << 20):
-                to.append(name, files.read(name, at, min(1 << 20, sizes[n] - at)))
-            await to.sync(name)
+                destination.append(name, files.read(name, at, min(1 << 20, sizes[n] - at)))
+            await destination.sync(name)
             total += sizes[n]
-        to.create(IDENTITY)
-        to.append(IDENTITY, files.read(IDENTITY))
-        await to.sync(IDENTITY)
-        await to.sync_folder()
+        destination.create(IDENTITY_FILE)
+        destination.append(IDENTITY_FILE, files.read(IDENTITY_FILE))
+        await destination.sync(IDENTITY_FILE)
+        await destination.sync_folder()
         return len(numbers), total
     raise FileNotFoundError("the store's segments went faster than they could be copied")
--- a/otterquay/store/view.py
+++ b/otterquay/store/view.py
@@ -28,7 +28,7 @@
         if self._closed:
             raise ValueError("the view is closed")
         at = self._store.index.find(table, key, 0, self._undo)
-        return None if at is None else self._store.value(at)
+        return None if at is None else self._store.read_value(at)
 
     def scan(self, table: str, first: bytes = b"", before: bytes | None = None) -> Iterator[tuple[bytes, bytes]]:
         """Keys from `first` to under `before` in order, with their values."""
@@ -41,4 +41,4 @@
         """Let go of what was kept for this view."""
         if not self._closed:
             self._closed = True
-            self._store.release(self._undo)
+            self._store.close_view(self._undo)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -28,43 +28,48 @@
 from otterquay.store import Delete, Options, Put, Store, StoreCorrupted, StoreFailed, open_store
 from otterquay.store import engine as en
 from otterquay.store import format as fm
-from otterquay.store import format1 as f1
+from otterquay.store import format_v1 as f1
 from otterquay.store import salvage as rc
 from otterquay.store.files import BackgroundSyncDisk, Disk
 from otterquay.store.index import Index
 
 
-async def opened(files: Any, options: Options = tt.SMALL, clock: Callable[[], float] = lambda: 0.0) -> Store:
+async def open_test_store(
+    files: Any, options: Options = tt.SMALL_OPTIONS, clock: Callable[[], float] = lambda: 0.0
+) -> Store:
     return await open_store(files, silent(), clock, options)
 
 
 def values(store: Store) -> dict[tuple[str, bytes], bytes]:
-    return {spot: value for spot, (value, _) in tt.held(store).items()}
+    return {table_key: value for table_key, (value, _) in tt.read_all(store).items()}
 
 
 # --- what lasts ---
 def test_what_is_written_is_there_after_opening_anew(tmp_path: Path) -> None:
     async def run() -> None:
         rng, state, clock = random.Random(1), tt.State(), tt.Clock()
-        for life in range(5):
-            store = await opened(
-                Disk(tmp_path / "s") if life % 2 else BackgroundSyncDisk(tmp_path / "s"), clock=clock
+        for incarnation in range(5):
+            store = await open_test_store(
+                Disk(tmp_path / "s") if incarnation % 2 else BackgroundSyncDisk(tmp_path / "s"), clock=clock
             )
-            assert tt.held(store) == tt.alive(state, store.time)
+            assert tt.read_all(store) == tt.unexpired(state, store.time)
             for _ in range(40):
                 clock.now += 0.2
-                changes = tt.batch(rng)
+                changes = tt.random_batch(rng)
                 await store.commit(changes)
-                state = tt.applied(state, changes, store.time)
-                assert tt.held(store) == tt.alive(state, store.now())
+                state = tt.apply_changes(state, changes, store.time)
+                assert tt.read_all(store) == tt.unexpired(state, store.now())
             assert [k for k, _ in store.scan("votes", b"k1", b"k3")] == sorted(
-                k for t, k in tt.alive(state, store.now()) if t == "votes" and b"k1" <= k < b"k3"
+                k for t, k in tt.unexpired(state, store.now()) if t == "votes" and b"k1" <= k < b"k3"
             )
             await store.close()
             with pytest.raises(StoreFailed, match="closed"):
                 await store.commit([Put("a", b"b", b"c")])
         assert store.oldest > 3, "compaction ran"
-        assert store.total_bytes() < tt.SMALL.slack * store.index.live_bytes + 4 * tt.SMALL.segment_bytes
+        assert (
+            store.total_bytes()
+            < tt.SMALL_OPTIONS.slack * store.index.live_bytes + 4 * tt.SMALL_OPTIONS.segment_bytes
+        )
 
     asyncio.run(run())
 
@@ -85,7 +90,7 @@
 
 def test_a_file_that_is_gone_is_missed_or_not_needed() -> None:
     for name in REFERENCE.files:
-        store, found = REFERENCE.opened({n: d for n, d in REFERENCE.files.items() if n != name})
+        store, found = REFERENCE.open_and_read({n: d for n, d in REFERENCE.files.items() if n != name})
         if name.endswith(".hint"):
             assert store and found == REFERENCE.expected(max(REFERENCE.states), store)
         else:
@@ -105,11 +110,11 @@
 
 # --- each promise taken out once ---
 async def no_sync(self: FaultDisk, name: str) -> None:
-    self._do("sync", name)
+    self._begin_operation("sync", name)
 
 
 async def no_folder(self: FaultDisk) -> None:
-    self._do("sync_folder", "")
+    self._begin_operation("sync_folder", "")
 
 
 async def early_close(self: Store) -> None:
@@ -117,25 +122,25 @@
     await self.append(fm.CLOSE, b"")
     number = self.active_segment + 1
     self.files.create(en.segment_name(number))
-    self.files.append(en.segment_name(number), fm.write_head(fm.SEGMENT, number, self.sequence + 1))
+    self.files.append(en.segment_name(number), fm.write_header(fm.SEGMENT, number, self.sequence + 1))
     await self.files.sync(en.segment_name(number))
     await self.files.sync_folder()
-    self.active_segment, self.ops = number, {}
-    self.segments[number] = en.Segment(fm.HEAD_SIZE, self.sequence + 1)
+    self.active_segment, self.key_changes = number, {}
+    self.segments[number] = en.Segment(fm.HEADER_SIZE, self.sequence + 1)
 
 
 async def removed_before_trim(self: Store) -> None:
-    doomed, self._doomed = self._doomed, []
-    for number in doomed:
+    removable, self._removable_segments = self._removable_segments, []
+    for number in removable:
         await self.remove_segment(number)
-    await self.append(fm.TRIM, fm.trim_content(doomed[-1] + 1))
+    await self.append(fm.TRIM, fm.write_trim(removable[-1] + 1))
 
 
-MOVES = Store._moves
+ORIGINAL_NEXT_MOVES = Store._next_moves
 
 
 def moves_nothing(self: Store) -> list[Any]:
-    MOVES(self)
+    ORIGINAL_NEXT_MOVES(self)
     return []
 
 
@@ -144,7 +149,7 @@
 
 async def late_sync(self: FaultDisk, name: str) -> None:
     """Says done, and does it with the next one: what is acknowledged is not on the disk yet."""
-    self._do("sync", name)
+    self._begin_operation("sync", name)
     file = self._file(name)
     ready = BEHIND.get(id(file), 0)
     for offset, what in file.dirty[:ready]:
@@ -160,9 +165,9 @@
     "no sync": (FaultDisk, "sync", no_sync, "lost"),
     "no folder sync": (FaultDisk, "sync_folder", no_folder, "lost"),
     "acknowledged before the sync": (FaultDisk, "sync", late_sync, "lost"),
-    "closed before the next segment lasts": (Store, "_roll", early_close, "lost"),
-    "removed before its end is told": (Store, "_remove_doomed", removed_before_trim, "lost"),
-    "compaction that moves nothing": (Store, "_moves", moves_nothing, "lost"),
+    "closed before the next segment lasts": (Store, "_roll_segment", early_close, "lost"),
+    "removed before its end is told": (Store, "_remove_compacted_segments", removed_before_trim, "lost"),
+    "compaction that moves nothing": (Store, "_next_moves", moves_nothing, "lost"),
 }
 
 
@@ -172,7 +177,7 @@
     monkeypatch.setattr(where, name, instead)
     found = 0
     for seed in range(3):
-        count = tt.crash_everywhere(seed, steps=20, ways=3)
+        count = tt.crash_everywhere(seed, steps=20, variants=3)
         found += getattr(count, said)
     assert found > 0
 
@@ -208,11 +213,11 @@
     reference = tt.Reference(3)
     last = reference.last
     broken = 0
-    for at in range(fm.HEAD_SIZE, len(reference.files[last])):
+    for at in range(fm.HEADER_SIZE, len(reference.files[last])):
         flipped = bytearray(reference.files[last])
         flipped[at] ^= 1
         try:
-            store, found = reference.opened({**reference.files, last: bytes(flipped)})
+            store, found = reference.open_and_read({**reference.files, last: bytes(flipped)})
         except Exception:
             continue
         broken += store is not None and found != reference.expected(max(reference.states), store)
@@ -224,7 +229,7 @@
 
     async def run(rewrites: bool) -> bool:
         disk = FaultDisk()
-        store = await opened(disk)
+        store = await open_test_store(disk)
         await store.commit([Put("t", b"a", b"1")])
 
         def fail_sync(operation: str, name: str) -> None:
@@ -241,10 +246,10 @@
             again.write_at = lambda name, offset, data, operation="": (  # type: ignore[method-assign]
                 write(name, offset, data, operation) if operation == "append" else None
             )
-        second = await opened(again)
+        second = await open_test_store(again)
         shown = second.get("t", b"b")
         await second.commit([Put("t", b"c", b"3")])
-        third = await opened(again.after_power_loss(random.Random(1)))
+        third = await open_test_store(again.after_power_loss(random.Random(1)))
         return third.get("t", b"b") == shown and third.get("t", b"c") == b"3"
 
     assert asyncio.run(run(True))
@@ -258,11 +263,11 @@
 def test_after_an_error_nothing_more_is_taken_and_reading_goes_on(operation: str, nth: int) -> None:
     async def run() -> None:
         disk, rng, state = FaultDisk(), random.Random(nth), tt.State()
-        store = await opened(disk)
+        store = await open_test_store(disk)
         for _ in range(12):
-            changes = tt.batch(rng)
+            changes = tt.random_batch(rng)
             await store.commit(changes)
-            state = tt.applied(state, changes, store.time)
+            state = tt.apply_changes(state, changes, store.time)
         seen = 0
 
         def full(what: str, name: str) -> None:
@@ -276,8 +281,8 @@
         maybe = state
         with pytest.raises(StoreFailed, match="No space left"):
             for _ in range(60):
-                changes = tt.batch(rng)
-                maybe = tt.applied(state, changes, store.time)
+                changes = tt.random_batch(rng)
+                maybe = tt.apply_changes(state, changes, store.time)
                 await store.commit(changes)
                 state = maybe
                 await asyncio.sleep(0)
@@ -286,10 +291,10 @@
             await store.commit([Put("t", b"d", b"4")])
         with pytest.raises(StoreFailed, match="No space left"):
             await store.compact()
-        assert tt.held(store) == tt.alive(state, store.now()), "what was synced still reads"
+        assert tt.read_all(store) == tt.unexpired(state, store.now()), "what was synced still reads"
         await store.close()
-        again = await opened(disk.after_kill())
-        assert tt.held(again) in (tt.alive(state, again.time), tt.alive(maybe, again.time))
+        again = await open_test_store(disk.after_kill())
+        assert tt.read_all(again) in (tt.unexpired(state, again.time), tt.unexpired(maybe, again.time))
         await again.commit([Put("t", b"d", b"4")])
 
     asyncio.run(run())
@@ -298,7 +303,7 @@
 def test_a_disk_that_fills_in_the_middle_of_a_batch() -> None:
     async def run() -> None:
         disk = FaultDisk(capacity=5000)
-        store = await opened(disk, Options(segment_bytes=100_000))
+        store = await open_test_store(disk, Options(segment_bytes=100_000))
         done = 0
         with pytest.raises(StoreFailed, match="No space left"):
             while True:
@@ -307,7 +312,7 @@
         assert done > 8
         left = disk.after_kill()
         left.capacity = None
-        again = await opened(left, Options(segment_bytes=100_000))
+        again = await open_test_store(left, Options(segment_bytes=100_000))
         assert again.tables() == {"t": done, "u": done} and again.truncated_bytes > 0
 
     asyncio.run(run())
@@ -316,7 +321,7 @@
 def test_a_value_that_cannot_be_read_is_told_and_others_are_not_held_up() -> None:
     async def run() -> None:
         disk = FaultDisk()
-        store = await opened(disk)
+        store = await open_test_store(disk)
         for i in range(30):
             await store.commit([Put("t", b"%02d" % i, b"x" * 60)])
         first = en.segment_name(store.oldest)
@@ -345,7 +350,7 @@
 def test_the_process_that_syncs_gone_stops_the_store(tmp_path: Path) -> None:
     async def run() -> None:
         disk = BackgroundSyncDisk(tmp_path)
-        store = await opened(disk)
+        store = await open_test_store(disk)
         await store.commit([Put("t", b"a", b"1")])
         assert disk._helper is not None
         disk._helper.kill()
@@ -362,7 +367,7 @@
 def test_lives_end_by_a_clock_that_may_be_set_back_and_never_begin_again() -> None:
     async def run() -> None:
         disk, clock = FaultDisk(), tt.Clock(5000.0)
-        store = await opened(disk, clock=clock)
+        store = await open_test_store(disk, clock=clock)
         await store.commit(
             [Put("t", b"short", b"1", 10.0), Put("t", b"long", b"2", 100.0), Put("t", b"ever", b"3")]
         )
@@ -379,7 +384,7 @@
         await store.commit([Put("t", b"more", b"4", 50.0)])
         await store.close()
         clock.now = 3.0  # a start of the machine, the clock from nothing
-        again = await opened(disk.after_kill(), clock=clock)
+        again = await open_test_store(disk.after_kill(), clock=clock)
         assert [k for k, _ in again.scan("t")] == [b"ever", b"more"]
         clock.now += 49.9
         assert again.get("t", b"more") == b"4"
@@ -396,13 +401,13 @@
 # --- limits, views, compaction ---
 def test_limits_are_refused_before_anything_is_written_and_others_go_on() -> None:
     async def run() -> None:
-        store = await opened(FaultDisk(), Options())
+        store = await open_test_store(FaultDisk(), Options())
         for bad in (
             Put("", b"k", b"v"),
             Put("t" * 256, b"k", b"v"),
             Put("t", b"k" * 65_536, b"v"),
             Delete("t", b"k" * 65_536),
-            Put("t", b"k", b"v" * (fm.VALUE_MOST + 1)),
+            Put("t", b"k", b"v" * (fm.MAX_VALUE_BYTES + 1)),
         ):
             refused, taken = await asyncio.gather(
                 store.commit([Put("t", b"half", b"1"), bad]),
@@ -411,11 +416,11 @@
             )
             assert isinstance(refused, ValueError) and taken is None
         with pytest.raises(ValueError, match="a batch of about"):
-            await store.commit([Put("t", b"%d" % i, b"v" * fm.VALUE_MOST) for i in range(3)])
-        most = [Put("t" * 255, b"k" * 65_535, b"v" * fm.VALUE_MOST), Put("t", b"", b"")]
+            await store.commit([Put("t", b"%d" % i, b"v" * fm.MAX_VALUE_BYTES) for i in range(3)])
+        most = [Put("t" * 255, b"k" * 65_535, b"v" * fm.MAX_VALUE_BYTES), Put("t", b"", b"")]
         await store.commit(most)
-        again = await opened(store.files.after_kill(), Options())  # type: ignore[attr-defined]
-        assert again.get("t" * 255, b"k" * 65_535) == b"v" * fm.VALUE_MOST and again.get("t", b"") == b""
+        again = await open_test_store(store.files.after_kill(), Options())  # type: ignore[attr-defined]
+        assert again.get("t" * 255, b"k" * 65_535) == b"v" * fm.MAX_VALUE_BYTES and again.get("t", b"") == b""
         assert again.get("t", b"half") is None and again.get("t", b"other") == b"1"
 
     asyncio.run(run())
@@ -424,19 +429,19 @@
 def test_a_view_shows_what_held_while_writers_and_compaction_go_on() -> None:
     async def run() -> None:
         disk, rng, state = FaultDisk(), random.Random(4), tt.State()
-        store = await opened(disk)
+        store = await open_test_store(disk)
         views: list[tuple[en.View, tt.State]] = []
         for step in range(200):
-            changes = tt.batch(rng)
+            changes = tt.random_batch(rng)
             await store.commit(changes)
-            state = tt.applied(state, changes, store.time)
+            state = tt.apply_changes(state, changes, store.time)
             if step % 20 == 0:
                 views.append((store.view(), state))
             if step % 50 == 0:
                 await store.compact()
             for view, was in views[-4:]:
                 shown = {(t, k): v for t in ("votes", "ledger") for k, v in view.scan(t)}
-                assert shown == {spot: value for spot, (value, _) in was.items()}
+                assert shown == {table_key: value for table_key, (value, _) in was.items()}
         pinned = len([n for n in disk.files if n.endswith(".seg")])
         for view, _ in views:
             view.close()
@@ -452,14 +457,14 @@
     index, rng = Index(), random.Random(2)
     for _ in range(2000):
         index.put("t", b"%05d" % rng.randrange(100_000), 7)
-    want = sorted(index.tables["t"].at)
+    want = sorted(index.tables["t"].places)
     undo = en.Undo(0)
-    index.undo.append(undo)
+    index.open_views.append(undo)
     got = []
     for key in index.keys("t", b"", None, undo):
         if index.find("t", key, 0, undo) is not None:
             got.append(key)
-        index.drop("t", rng.choice(want))
+        index.remove("t", rng.choice(want))
         index.put("t", b"%05d" % rng.randrange(100_000), 9)
     assert got == want
 
@@ -469,7 +474,7 @@
     async def run() -> None:
         disk, rng = FaultDisk(), random.Random(1)
         options = Options(segment_bytes=64 * 1024)
-        store = await opened(disk, options)
+        store = await open_test_store(disk, options)
         for at in range(0, keys, 100):
             await store.commit([Put("t", b"%d" % i, b"v" * 40) for i in range(at, at + 100)])
         worst = 0.0
@@ -487,14 +492,14 @@
 def test_hints_load_what_reading_the_segments_gives() -> None:
     async def run() -> None:
         disk, rng = FaultDisk(), random.Random(6)
-        store = await opened(disk, clock=tt.Clock())
+        store = await open_test_store(disk, clock=tt.Clock())
         for _ in range(150):
-            await store.commit(tt.batch(rng))
+            await store.commit(tt.random_batch(rng))
         await asyncio.sleep(0)
         assert sum(n.endswith(".hint") for n in disk.files) >= 2
-        with_hints = await opened(disk.after_kill(), clock=tt.Clock())
-        read = await open_store(disk.after_kill(), silent(), tt.Clock(), tt.SMALL, hints=False)
-        assert tt.held(with_hints) == tt.held(read) == tt.held(store)
+        with_hints = await open_test_store(disk.after_kill(), clock=tt.Clock())
+        read = await open_store(disk.after_kill(), silent(), tt.Clock(), tt.SMALL_OPTIONS, hints=False)
+        assert tt.read_all(with_hints) == tt.read_all(read) == tt.read_all(store)
         assert with_hints.index.live_bytes == read.index.live_bytes == store.index.live_bytes
         assert with_hints.oldest == read.oldest == store.oldest
 
@@ -514,16 +519,16 @@
 
     def _open(self) -> Store:
         self.views.clear()
-        return self.loop.run_until_complete(opened(self.disk, clock=self.clock))
+        return self.loop.run_until_complete(open_test_store(self.disk, clock=self.clock))
 
     @rule(seed=st.integers(0, 2**32), groups=st.integers(1, 3))
     def commit(self, seed: int, groups: int) -> None:
         async def run() -> None:
             rng = random.Random(seed)
-            batches = [tt.batch(rng) for _ in range(groups)]
+            batches = [tt.random_batch(rng) for _ in range(groups)]
             self.store.now()
             for changes in batches:
-                self.state = tt.applied(self.state, changes, self.store.time)
+                self.state = tt.apply_changes(self.state, changes, self.store.time)
             await asyncio.gather(*(self.store.commit(b) for b in batches))
 
         self.loop.run_until_complete(run())
@@ -565,23 +570,23 @@
                 raise OSError(5, "Input/output error")
 
         self._note_time()
-        changes = tt.batch(random.Random(seed))
+        changes = tt.random_batch(random.Random(seed))
         self.store.now()
-        self.maybe = tt.applied(self.state, changes, self.store.time)
+        self.maybe = tt.apply_changes(self.state, changes, self.store.time)
         self.disk.fail = fail_sync
         with pytest.raises(StoreFailed):
             self.loop.run_until_complete(self.store.commit(changes))
-        assert tt.held(self.store) == tt.alive(self.state, self.store.time)
+        assert tt.read_all(self.store) == tt.unexpired(self.state, self.store.time)
         self.disk = self.disk.after_kill() if seed % 2 else self.disk.after_power_loss(random.Random(seed))
         self.store = self._open()
-        found = tt.held(self.store)
-        assert found in (tt.alive(self.state, self.store.time), tt.alive(self.maybe, self.store.time))
-        if found != tt.alive(self.state, self.store.time):
+        found = tt.read_all(self.store)
+        assert found in (tt.unexpired(self.state, self.store.time), tt.unexpired(self.maybe, self.store.time))
+        if found != tt.unexpired(self.state, self.store.time):
             self.state = self.maybe
 
     @invariant()
     def all_shows(self) -> None:
-        assert tt.held(self.store) == tt.alive(self.state, self.store.now())
+        assert tt.read_all(self.store) == tt.unexpired(self.state, self.store.now())
         for view, was in self.views:
             assert {(t, k): v for t in ("votes", "ledger") for k, v in view.scan(t)} == was
 
@@ -608,18 +613,18 @@
         return subprocess.run([sys.executable, "-c", code, str(tmp_path)], check=False).returncode
 
     async def run() -> None:
-        store = await opened(Disk(tmp_path))
+        store = await open_test_store(Disk(tmp_path))
         assert other() == 7
         await store.close()
         assert other() == 0
-        await (await opened(Disk(tmp_path))).close()
+        await (await open_test_store(Disk(tmp_path))).close()
 
     asyncio.run(run())
 
 
 def test_looking_in_and_backup_beside_a_writer_at_work(tmp_path: Path) -> None:
     async def run() -> None:
-        store = await opened(Disk(tmp_path / "a"))
+        store = await open_test_store(Disk(tmp_path / "a"))
         stop, written = False, 0
 
         async def write() -> None:
@@ -628,7 +633,7 @@
             while not stop:
                 written += 1
                 await store.commit(
-                    [Put("n", b"n", b"%d" % written), Put("m", b"m", b"%d" % written), *tt.batch(rng)]
+                    [Put("n", b"n", b"%d" % written), Put("m", b"m", b"%d" % written), *tt.random_batch(rng)]
                 )
 
         task = asyncio.create_task(write())
@@ -640,7 +645,7 @@
             with pytest.raises(StoreFailed, match="look"):
                 await looked.commit([Put("a", b"b", b"c")])
             await rc.backup(Disk(tmp_path / "a"), Disk(tmp_path / f"copy{copy}"))
-            restored = await opened(Disk(tmp_path / f"copy{copy}"))
+            restored = await open_test_store(Disk(tmp_path / f"copy{copy}"))
             assert restored.get("n", b"n") == restored.get("m", b"m")
             assert int(restored.get("n", b"n") or b"0") >= sure
             await restored.close()
@@ -659,16 +664,16 @@
     import msgspec
 
     content = msgspec.msgpack.encode(changes)
-    tag = f1._tag(number, kind, sequence, synced, content)
-    return f1._RECORD.pack(len(content), kind, sequence, synced, tag) + content
+    checksum = f1._record_checksum(number, kind, sequence, synced, content)
+    return f1._RECORD_HEADER.pack(len(content), kind, sequence, synced, checksum) + content
 
 
 def old_store() -> dict[str, bytes]:
     """A folder of version 1: a base up to segment 1, and segments 2 and 3 with a torn end."""
-    base = f1.write_head(f1.BASE, 1) + old_record(1, f1.PIECE, 4, 4, [("t", b"a", b"1"), ("u", b"b", b"2")])
+    base = f1.write_header(f1.BASE, 1) + old_record(1, f1.PIECE, 4, 4, [("t", b"a", b"1"), ("u", b"b", b"2")])
     base += old_record(1, f1.END, 4, 4, [])
-    two = f1.write_head(f1.LOG, 2) + old_record(2, f1.BATCH, 5, 4, [("t", b"a", None), ("t", b"c", b"3")])
-    three = f1.write_head(f1.LOG, 3) + old_record(3, f1.BATCH, 6, 5, [("u", b"d", b"x" * 100)])
+    two = f1.write_header(f1.LOG, 2) + old_record(2, f1.BATCH, 5, 4, [("t", b"a", None), ("t", b"c", b"3")])
+    three = f1.write_header(f1.LOG, 3) + old_record(3, f1.BATCH, 6, 5, [("u", b"d", b"x" * 100)])
     three += old_record(3, f1.BATCH, 7, 6, [("u", b"e", b"5")])[:-3]
     return {f"{1:016x}.base": base, f"{2:016x}.log": two, f"{3:016x}.log": three}
 
@@ -683,12 +688,12 @@
         nonlocal count
         for _ in range(6):
             left = disk.after_power_loss(rng)
-            assert values(tt.drive(opened(left))) == OLD_HELD
+            assert values(tt.run_sync(open_test_store(left))) == OLD_HELD
             count += 1
 
     disk = FaultDisk(old_store())
-    disk.moment = lambda: crash_at(disk)
-    store = tt.drive(opened(disk))
+    disk.before_change = lambda: crash_at(disk)
+    store = tt.run_sync(open_test_store(disk))
     assert values(store) == OLD_HELD and count > 60
     assert not [n for n in disk.files if n.endswith((".log", ".base"))]
 
@@ -699,14 +704,14 @@
     files[name] = files[name][:50] + b"\xff" + files[name][51:]
     disk = FaultDisk(files)
     with pytest.raises(StoreCorrupted, match=f"{name}: offset 32: version 1"):
-        tt.drive(opened(disk))
+        tt.run_sync(open_test_store(disk))
     assert {n: d for n, d in disk.contents().items() if n in files} == files
     later = dict(REFERENCE.files)
     for kind in ("format", REFERENCE.last):
         data = bytearray(later[kind])
         data[8] = 9
         with pytest.raises(StoreCorrupted, match="written by version 9"):
-            tt.drive(opened(FaultDisk({**later, kind: bytes(data)})))
+            tt.run_sync(open_test_store(FaultDisk({**later, kind: bytes(data)})))
 
 
 def test_salvage_keeps_what_is_whole_and_tells_what_is_not() -> None:
@@ -715,17 +720,17 @@
     records = list(fm.records(files[name], int(name[:16], 16)))
     broken = next(r for r in records[1:] if r.kind == fm.GROUP)
     data = bytearray(files[name])
-    data[broken.start + fm.RECORD_SIZE + 3] ^= 8
+    data[broken.start + fm.RECORD_HEADER_SIZE + 3] ^= 8
     files[name] = bytes(data)
     touched = {(e.table, e.key) for e in fm.entries(broken, int(name[:16], 16))}
     damaged, to = FaultDisk(files), FaultDisk()
     report = asyncio.run(rc.salvage(damaged, to, silent(), clock))
     assert report.damage == [(name, broken.start, "a record's tag does not fit")]
     assert report.missing == [(broken.sequence, broken.sequence)]
-    store = tt.drive(opened(to, clock=clock))
+    store = tt.run_sync(open_test_store(to, clock=clock))
     want = REFERENCE.expected(max(REFERENCE.states), store)
-    found = tt.held(store)
-    assert all(found.get(spot) == want.get(spot) for spot in {*found, *want} - touched)
+    found = tt.read_all(store)
+    assert all(found.get(table_key) == want.get(table_key) for table_key in {*found, *want} - touched)
     assert damaged.contents() == files
     with pytest.raises(StoreFailed, match="not empty"):
         asyncio.run(rc.salvage(FaultDisk(REFERENCE.files), to.after_kill(), silent(), clock))
@@ -735,7 +740,7 @@
     folder = tmp_path / "s"
 
     async def run() -> None:
-        store = await opened(Disk(folder))
+        store = await open_test_store(Disk(folder))
         for i in range(20):
             await store.commit([Put("t", b"\x01", b"\x02" * 50), Put("t", b"\x07%d" % i, b"\x02", 1e6)])
         await store.close()
@@ -759,10 +764,10 @@
     assert code == 0 and json.loads(call("stat")[1])["bytes"] < stat["bytes"]
     segment = sorted(folder.glob("*.seg"))[0]
     data = bytearray(segment.read_bytes())
-    data[fm.HEAD_SIZE + fm.RECORD_SIZE + 2] ^= 1
+    data[fm.HEADER_SIZE + fm.RECORD_HEADER_SIZE + 2] ^= 1
     segment.write_bytes(bytes(data))
     code, text = call("verify")
-    assert code == 1 and f"{segment.name}: offset {fm.HEAD_SIZE}" in text
+    assert code == 1 and f"{segment.name}: offset {fm.HEADER_SIZE}" in text
     code, text = call("repair", "--to", str(tmp_path / "saved"))
     assert code == 0 and "records" in text and "missing" in text
     code, text = call("repair", "--to", str(tmp_path / "copy"))
@@ -813,11 +818,11 @@
 
     async def run(ahead: bool) -> FaultDisk:
         disk = FaultDisk()
-        store = await opened(disk)
+        store = await open_test_store(disk)
         view = store.view()
         await store.compact()
         if ahead:
-            store.trimmed = store.oldest
+            store.trimmed_to = store.oldest
         await store.compact()
         await asyncio.sleep(0)
         assert store.oldest > 1 and en.segment_name(1) in disk.files
@@ -826,7 +831,7 @@
         return left
 
     disk = asyncio.run(run(ahead=True))
-    store = tt.drive(opened(disk))
+    store = tt.run_sync(open_test_store(disk))
     assert en.segment_name(1) not in disk.files and store.oldest > 1
     for seed in range(40):
-        tt.drive(opened(disk.after_power_loss(random.Random(seed))))
+        tt.run_sync(open_test_store(disk.after_power_loss(random.Random(seed))))
