--- a/otterquay/store/__init__.py
+++ b/otterquay/store/__init__.py
@@ -1,4 +1,4 @@
-"""An embedded store for one writer: a log in segments, an index in memory, compaction of the oldest, recovery."""
+"""An embedded single-writer key-value store: a segmented log, an in-memory index, compaction and crash recovery."""
 
 from otterquay.store.definitions import Change, Delete, Options, Put, StoreCorrupted, StoreFailed
 from otterquay.store.engine import Store
--- a/otterquay/store/definitions.py
+++ b/otterquay/store/definitions.py
@@ -1,4 +1,4 @@
-"""What the store's files share: names, sizes, changes, errors."""
+"""Definitions shared by the store's modules: file names, limits, changes, options and errors."""
 
 from __future__ import annotations
 
@@ -7,17 +7,16 @@
 from otterquay.store import format as fm
 from otterquay.store.files import Files
 
-PART_SUFFIX, IDENTITY_FILE = ".part", "format"
-MAX_GROUP_BYTES = 4 * 1024 * 1024  # bytes of batches after which a sync takes no further ones
-MAX_PENDING_BYTES = 128 * 1024 * 1024  # bytes of batches that may wait for the disk; one further behind fails
-MIN_MOVE_LIMIT_BYTES, MAX_STEP_ENTRIES = (
-    64 * 1024,
-    512,
-)  # bytes that a step of compaction may move, entries it may look at
+PART_SUFFIX = ".part"
+IDENTITY_FILE = "format"
+MAX_GROUP_BYTES = 4 * 1024 * 1024  # no batch joins a group that has reached this size
+MAX_PENDING_BYTES = 128 * 1024 * 1024  # batches waiting for the disk; the store fails beyond this
+MIN_MOVE_LIMIT_BYTES = 64 * 1024  # the limit on the bytes moved by a compaction step is never below this
+MAX_STEP_ENTRIES = 512  # entries that one step of compaction or expiry examines
 
 
 class StoreCorrupted(Exception):
-    """A file is damaged where no crash can have left it so; nothing was changed."""
+    """A file has damage that no crash can have caused; nothing was changed."""
 
     def __init__(self, name: str, offset: int, reason: str) -> None:
         super().__init__(f"{name}: offset {offset}: {reason}")
@@ -25,12 +24,12 @@
 
 
 class StoreFailed(Exception):
-    """The store takes no writes: another process has it, it is closed, or a write or sync failed."""
+    """The store accepts no writes: another process holds it, it is closed, or a write or sync failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """Set a key's value; it lives for `life_s` seconds of store time, for good with None."""
+    """Set a key's value; it expires after `ttl_s` seconds of store time, or never with None."""
 
     table: str
     key: bytes
@@ -40,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Remove a key; no error when there is none."""
+    """Remove a key; removing a missing key is no error."""
 
     table: str
     key: bytes
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Sizes. Compaction keeps all segments under `slack` times what is alive and two segments more."""
+    """Size settings. Compaction keeps all segments under `slack` times the live bytes plus two segments."""
 
     segment_bytes: int = 8 * 1024 * 1024
     slack: float = 2.0
@@ -59,24 +58,24 @@
 
 @dataclass(slots=True)
 class Segment:
-    """A segment as the store knows it."""
+    """State of one segment."""
 
     size: int
     first: int  # sequence number of its first record
 
 
 def segment_name(number: int) -> str:
-    """The name of the segment of this number."""
+    """File name of a segment."""
     return f"{number:016x}.seg"
 
 
 def hint_name(number: int) -> str:
-    """The name of the hint beside a closed segment."""
+    """File name of the hint of a closed segment."""
     return f"{number:016x}.hint"
 
 
 async def new_segment(files: Files, number: int, first: int) -> None:
-    """A segment with its head, whose first record will have this sequence number; it lasts when this returns."""
+    """Create a segment with its header and sync both; `first` is the sequence number of its first record."""
     name = segment_name(number)
     files.create(name)
     files.append(name, fm.write_header(fm.SEGMENT, number, first))
@@ -84,5 +83,5 @@
     await files.sync_folder()
 
 
-# the last place (offset << 32 | length) and end of life by key, None for a removed one
+# by table and key: last place (offset << 32 | length) and expiry, or None for a removed key
 KeyChanges = dict[str, dict[bytes, tuple[int, int] | None]]
--- a/otterquay/store/engine.py
+++ b/otterquay/store/engine.py
@@ -1,13 +1,15 @@
-"""The store itself. What is promised:
-
-- `commit` returns once its batch is synced; then it survives anything but damage to the files.
-- A batch is there whole or not at all, and batches are there in the order in which they were given.
-- Readers see a batch once it is synced, never a part of it; a view sees what held when it was taken.
-- After any error of writing or syncing the store takes no more writes and says why: what reached the disk is then
-  unknown, and a second sync that succeeds would prove nothing. Reading goes on; opening anew finds out.
-- Opening cuts a torn tail (logged, counted) and refuses damage anywhere else, with file and offset.
-- A life given to an entry ends by store time, which only goes forward: by the clock while the clock does, and not
-  at all while it is set back. What has ended does not come back.
+"""The store: group commit, reads, views, segment rolling and compaction.
+
+Guarantees:
+
+- `commit` returns once its batch is synced; from then on it survives anything but damage to the files.
+- Batches are atomic, and are applied in the order in which they were submitted.
+- Readers see a batch once it is synced, never part of it; a view sees the state at the time it was opened.
+- After any write or sync error the store is read-only and reports the reason: what reached the disk is unknown, and
+  a second sync that succeeds would prove nothing. Reads go on; reopening the store finds out what was written.
+- Opening truncates a torn tail (logged and counted) and rejects damage anywhere else, with file and offset.
+- Entries expire by store time, which never goes back: it advances with the clock, and a step back of the clock does
+  not change it. An expired entry does not reappear.
 """
 
 from __future__ import annotations
@@ -42,35 +44,35 @@
 
 
 class Store:
-    """One open store; made by `otterquay.store.open_store`."""
+    """An open store, created by `otterquay.store.open_store`."""
 
     def __init__(self, files: Files, log: Logger, clock: Callable[[], float], options: Options) -> None:
         self.files, self.log, self.options = files, log, options
         self._clock = clock
         self.index = Index()
         self.segments: dict[int, Segment] = {}
-        self.active_segment = self.sequence = 0  # of the segment that is written; of the last record
-        self.oldest = 1
-        self.trimmed_to = 1  # as the newest lasting TRIM has it: views keep segments before `oldest`
+        self.active_segment = self.sequence = 0  # number of the segment being written; of the last record
+        self.oldest = 1  # oldest segment that compaction has not finished
+        self.trimmed_to = 1  # oldest segment by the newest durable TRIM; open views keep segments before `oldest`
         self.truncated_bytes = 0
         self.failed: str | None = None
-        self.compaction_error: StoreCorrupted | OSError | None = None  # why compaction stopped
-        self.time = self.last_clock = 0  # ms of store time at the last look, and what the clock said then
+        self.compaction_error: StoreCorrupted | OSError | None = None  # reason why compaction stopped
+        self.time = self.last_clock = 0  # store time and clock reading at the last call of `now`, in ms
         self.key_changes: KeyChanges = {}
         self.moved_bytes = self.written_bytes = 0
         self._pending: deque[tuple[Sequence[Change], asyncio.Future[None], int]] = deque()
-        self._pending_bytes = 0  # bytes of those
+        self._pending_bytes = 0
         self._writer: asyncio.Task[None] | None = None
         self._hint_tasks: set[asyncio.Task[None]] = set()
         self._compaction_cursor: Iterator[tuple[fm.Entry, int]] | None = None
-        self._compact_up_to = 0  # compaction is asked for up to this segment
+        self._compact_up_to = 0  # newest segment that `compact` asked to compact
         self._compaction_waiters: list[asyncio.Future[None]] = []
         self._removable_segments: list[int] = []
         self._last_group_bytes = 0
 
     # --- time ---
     def now(self) -> int:
-        """Store time, ms: goes on as far as the clock went forward since the last look."""
+        """Store time in ms: advances by as much as the clock went forward since the last call."""
         clock = int(self._clock() * 1e3)
         self.time += max(clock - self.last_clock, 0)
         self.last_clock = clock
@@ -78,16 +80,19 @@
 
     # --- reading ---
     def get(self, table: str, key: bytes) -> bytes | None:
-        """The value of a key, None when there is none. OSError or Damaged: it cannot be read; others still can."""
-        at = self.index.find(table, key, self.now())
-        return None if at is None else self.read_value(at)
+        """The value of a key, or None.
+
+        OSError or StoreCorrupted: this value cannot be read; others still can.
+        """
+        place = self.index.find(table, key, self.now())
+        return None if place is None else self.read_value(place)
 
-    def read_value(self, at: int) -> bytes:
-        """The value at a place."""
-        return self._entry(at).value or b""
+    def read_value(self, place: int) -> bytes:
+        """The value of the entry at a place."""
+        return self._entry(place).value or b""
 
-    def _entry(self, at: int) -> fm.Entry:
-        number, offset, length = unpack_place(at)
+    def _entry(self, place: int) -> fm.Entry:
+        number, offset, length = unpack_place(place)
         data = self.files.read(segment_name(number), offset, length)
         try:
             return fm.read_entry(data, 0, number, offset)
@@ -95,43 +100,43 @@
             raise StoreCorrupted(segment_name(number), error.offset, error.reason) from None
 
     def view(self) -> View:
-        """The store as it is now, for as long as the view is open."""
+        """A consistent snapshot of the store as it is now."""
         undo = Undo(self.now())
         self.index.open_views.append(undo)
         return View(self, undo)
 
     def close_view(self, undo: Undo) -> None:
-        """A view was closed; segments that waited for it can go."""
+        """Drop a view's undo log; once no view is open, compacted segments can be removed."""
         self.index.open_views.remove(undo)
         if self._removable_segments and not self.index.open_views:
             self._ensure_writer()
 
     def scan(self, table: str, first: bytes = b"", before: bytes | None = None) -> Iterator[tuple[bytes, bytes]]:
-        """Keys from `first` to under `before` in order, as they were when the first was asked for."""
+        """Keys from `first` up to but without `before` in order, as of the first call of the iterator."""
         with self.view() as view:
             yield from view.scan(table, first, before)
 
     def tables(self) -> dict[str, int]:
-        """How many keys each table holds."""
+        """The number of live keys in each table."""
         now = self.now()
         while self.index.expire(now, 10_000):
             pass
         return {name: len(t.places) for name, t in sorted(self.index.tables.items()) if t.places}
 
     def total_bytes(self) -> int:
-        """Bytes of all segments."""
+        """Total size of all segments."""
         return sum(s.size for s in self.segments.values())
 
     # --- writing ---
     async def commit(self, changes: Sequence[Change]) -> None:
-        """Make a batch last. Those given while a sync is under way share the next one.
+        """Write a batch and wait until it is durable. Batches submitted during a sync share the next one.
 
-        ValueError: a change is over the limits, nothing is written. StoreFailed: it may be there or not.
+        ValueError: a change exceeds the limits and nothing is written. StoreFailed: the batch may be stored or not.
         """
         await self._enqueue(changes)
 
     def submit(self, changes: Sequence[Change]) -> None:
-        """As `commit`, without waiting: what fails is in the log, and the store is read-only then."""
+        """Like `commit`, without waiting: a failure is logged and makes the store read-only."""
         with contextlib.suppress(StoreFailed):
             self._enqueue(changes).add_done_callback(lambda done: done.exception())
 
@@ -142,19 +147,18 @@
         for change in changes:
             value = change.value if isinstance(change, Put) else b""
             if not 0 < len(change.table.encode()) <= fm.MAX_TABLE_BYTES:
-                raise ValueError(f"a table's name takes 1 to {fm.MAX_TABLE_BYTES} bytes: {change.table[:40]!r}")
+                raise ValueError(f"table name must have 1 to {fm.MAX_TABLE_BYTES} bytes: {change.table[:40]!r}")
             if len(change.key) > fm.MAX_KEY_BYTES or len(value) > fm.MAX_VALUE_BYTES:
                 raise ValueError(
-                    f"a key of {len(change.key)} bytes and a value of {len(value)}: at most "
-                    f"{fm.MAX_KEY_BYTES} and {fm.MAX_VALUE_BYTES} are taken"
+                    f"key of {len(change.key)} bytes and value of {len(value)} bytes: "
+                    f"the limits are {fm.MAX_KEY_BYTES} and {fm.MAX_VALUE_BYTES}"
                 )
             size += fm.ENTRY_HEADER_SIZE + fm.MAX_TABLE_BYTES + len(change.key) + len(value)
         if size > fm.MAX_BATCH_BYTES:
-            raise ValueError(f"a batch of about {size} bytes, at most {fm.MAX_BATCH_BYTES} are taken")
-        if (
-            self._pending_bytes + size > MAX_PENDING_BYTES
-        ):  # to leave one out would break the order of those after it
-            self._fail(OSError(f"the disk does not keep up, {self._pending_bytes} bytes wait"), [])
+            raise ValueError(f"a batch of about {size} bytes exceeds the limit of {fm.MAX_BATCH_BYTES}")
+        # the whole store fails: dropping only this batch would break the order of the later ones
+        if self._pending_bytes + size > MAX_PENDING_BYTES:
+            self._fail(OSError(f"the disk does not keep up, {self._pending_bytes} bytes are pending"), [])
             raise StoreFailed(self.failed or "")
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._pending.append((list(changes), done, size))
@@ -163,7 +167,10 @@
         return done
 
     async def compact(self) -> None:
-        """Write all that is alive in today's segments again and remove them. StoreFailed; Damaged, OSError."""
+        """Rewrite the live entries of all current segments and remove those.
+
+        StoreFailed: the store is read-only. StoreCorrupted, OSError: compaction stopped.
+        """
         if self.failed:
             raise StoreFailed(self.failed)
         self._compact_up_to = max(self._compact_up_to, self.active_segment)
@@ -177,7 +184,7 @@
             raise self.compaction_error
 
     async def close(self) -> None:
-        """Write what is pending, then let go of the files."""
+        """Write all pending batches, then close the files."""
         while self._writer and not self._writer.done():
             await asyncio.wait([self._writer])
         self.failed = self.failed or "closed"
@@ -186,7 +193,7 @@
         await self.files.close()
 
     async def commit_entries(self, entries: Sequence[fm.Entry]) -> None:
-        """Commit entries as they are, with their ends of life in store time."""
+        """Commit entries as they are, with their expiry in store time."""
         for i in range(0, len(entries), MAX_STEP_ENTRIES):
             now = self.now()
             await self.commit(
@@ -201,7 +208,7 @@
             self._writer = asyncio.get_running_loop().create_task(self._run_writer())
 
     def _needs_compaction(self) -> bool:
-        """Whether compaction has work: asked for, or more space taken than the options allow."""
+        """Whether compaction was requested, or the segments take more space than the options allow."""
         if self.compaction_error:
             return False
         if self.oldest <= self._compact_up_to:
@@ -212,7 +219,7 @@
         )
 
     async def _run_writer(self) -> None:
-        """Write groups, one at a time, and what compaction moves, until there is nothing left to do."""
+        """Write pending batches and the entries that compaction moves, one group at a time, until none are left."""
         try:
             while not self.failed and (
                 self._pending
@@ -243,6 +250,7 @@
         self._compaction_waiters.clear()
 
     async def _write_group(self) -> None:
+        """Write one record with pending batches and compaction's moves, sync it, then update the index."""
         now = self.now()
         self.index.expire(now, MAX_STEP_ENTRIES)
         moves = self._next_moves() if self._needs_compaction() else []
@@ -254,22 +262,22 @@
             size += sum(len(c.key) + (len(c.value) if isinstance(c, Put) else 0) for c in group[-1][0])
         if not group and not moves:
             return
-        number, start = self.active_segment, self.segments[self.active_segment].size + fm.RECORD_HEADER_SIZE
-        parts: list[bytes] = []
-        done: list[tuple[str, bytes, int | None, int, bool]] = []  # table, key, place, end of life, whether moved
+        number, offset = self.active_segment, self.segments[self.active_segment].size + fm.RECORD_HEADER_SIZE
+        encoded: list[bytes] = []
+        done: list[tuple[str, bytes, int | None, int, bool]] = []  # table, key, place, expiry, whether it is a move
         try:
-            for old, was in moves:
-                name, expires_at = old.table, old.expires_at
-                parts.append(fm.write_entry(number, name.encode(), old.key, old.value, expires_at))
-                done.append((name, old.key, pack_place(number, start, len(parts[-1])), expires_at, True))
-                start += len(parts[-1])
-                self.moved_bytes += was & 0xFFFFFFFF
+            for entry, old_place in moves:
+                name, expires_at = entry.table, entry.expires_at
+                encoded.append(fm.write_entry(number, name.encode(), entry.key, entry.value, expires_at))
+                done.append((name, entry.key, pack_place(number, offset, len(encoded[-1])), expires_at, True))
+                offset += len(encoded[-1])
+                self.moved_bytes += old_place & 0xFFFFFFFF
             for changes, _ in group:
                 for change in changes:
-                    put = isinstance(change, Put)
+                    is_put = isinstance(change, Put)
                     ttl_s = change.ttl_s if isinstance(change, Put) else None
                     expires_at = 0 if ttl_s is None else max(now + int(ttl_s * 1e3), 1)
-                    parts.append(
+                    encoded.append(
                         fm.write_entry(
                             number,
                             change.table.encode(),
@@ -278,27 +286,29 @@
                             expires_at,
                         )
                     )
-                    at = pack_place(number, start, len(parts[-1])) if put else None
-                    done.append((change.table, change.key, at, expires_at, False))
-                    start += len(parts[-1])
-            await self.append(fm.GROUP, b"".join(parts))
+                    place = pack_place(number, offset, len(encoded[-1])) if is_put else None
+                    done.append((change.table, change.key, place, expires_at, False))
+                    offset += len(encoded[-1])
+            await self.append(fm.GROUP, b"".join(encoded))
         except (OSError, ValueError) as error:
             return self._fail(error, [f for _, f in group])
-        for name, key, at, expires_at, moved in done:
-            if at is None:
+        for name, key, place, expires_at, is_move in done:
+            if place is None:
                 self.index.remove(name, key)
-            elif moved:
-                self.index.relocate(name, key, at)
+            elif is_move:
+                self.index.relocate(name, key, place)
             else:
-                self.index.put(name, key, at, expires_at)
-            self.key_changes.setdefault(name, {})[key] = None if at is None else (at & (1 << 64) - 1, expires_at)
+                self.index.put(name, key, place, expires_at)
+            self.key_changes.setdefault(name, {})[key] = (
+                None if place is None else (place & (1 << 64) - 1, expires_at)
+            )
         for _, future in group:
             if not future.done():
                 future.set_result(None)
         self._last_group_bytes = size
 
     async def append(self, kind: int, content: bytes) -> None:
-        """One record and its sync. Nothing is appended to a segment before the last record is synced."""
+        """Append a record and sync it. No record is appended before the one before it is synced."""
         name, segment = segment_name(self.active_segment), self.segments[self.active_segment]
         sequence = self.sequence + (kind != fm.CLOSE)
         data = fm.write_record(self.active_segment, kind, sequence, self.time, max(self.last_clock, 0), content)
@@ -309,6 +319,7 @@
         self.written_bytes += len(data)
 
     def _fail(self, error: Exception, futures: list[asyncio.Future[None]]) -> None:
+        """Make the store read-only and fail the given and all pending batches."""
         self.failed = self.failed or f"{type(error).__name__}: {error}"
         self.log.error("store_read_only", reason=self.failed)
         for future in [*futures, *(f for _, f, _ in self._pending)]:
@@ -318,7 +329,7 @@
         self._pending_bytes = 0
 
     async def _roll_segment(self) -> None:
-        """Close the segment. The next one lasts before the record that says it must be there."""
+        """Start the next segment, then close this one: the CLOSE requires that the next segment is durable."""
         number, first = self.active_segment + 1, self.sequence + 1
         await new_segment(self.files, number, first)
         await self.append(fm.CLOSE, b"")
@@ -331,14 +342,14 @@
         self._hint_tasks.add(task)
         task.add_done_callback(self._hint_tasks.discard)
 
-    # --- compaction: the oldest segment's entries that are alive are written again at the end, then it goes ---
+    # --- compaction: live entries of the oldest segment are rewritten to the active one, then it is removed ---
     def _next_moves(self) -> list[tuple[fm.Entry, int]]:
-        """What the next step moves: at least as much as writers write, so that it is not outrun."""
+        """The entries that the next step moves: twice what writers just wrote, so that compaction keeps up."""
         if self.oldest >= self.active_segment:
             return []
         if self._compaction_cursor is None:
             self._compaction_cursor = self._live_entries(self.oldest)
-        most, size = max(MIN_MOVE_LIMIT_BYTES, 2 * self._last_group_bytes), 0
+        max_bytes, size = max(MIN_MOVE_LIMIT_BYTES, 2 * self._last_group_bytes), 0
         found: list[tuple[fm.Entry, int]] = []
         try:
             for _ in range(MAX_STEP_ENTRIES):
@@ -351,7 +362,7 @@
                 if entry[1]:
                     found.append(entry)
                     size += entry[1] & 0xFFFFFFFF
-                    if size >= most:
+                    if size >= max_bytes:
                         break
         except (StoreCorrupted, OSError) as error:
             self._compaction_cursor, self.compaction_error = None, error
@@ -359,20 +370,20 @@
         return found
 
     def _live_entries(self, number: int) -> Iterator[tuple[fm.Entry, int]]:
-        """Each entry of a segment and its place, 0 for one that no longer counts when it is reached."""
+        """Each entry of a segment with its place, or 0 if the entry is no longer live when it is reached."""
         name = segment_name(number)
         try:
             for record in fm.records(self.files.read(name), number):
                 if record.kind == fm.GROUP:
                     for entry in fm.entries(record, number):
-                        at = pack_place(number, entry.start, entry.end - entry.start)
+                        place = pack_place(number, entry.start, entry.end - entry.start)
                         table = self.index.tables.get(entry.table)
-                        yield entry, at if table and table.places.get(entry.key) == at else 0
+                        yield entry, place if table and table.places.get(entry.key) == place else 0
         except fm.FormatError as error:
             raise StoreCorrupted(name, error.offset, error.reason) from None
 
     async def _remove_compacted_segments(self) -> None:
-        """Say which segment is the oldest, then remove those before it, the oldest first and each for good."""
+        """Write a TRIM that names the oldest segment left, then remove those before it, the oldest first."""
         removable, self._removable_segments = self._removable_segments, []
         await self.append(fm.TRIM, fm.write_trim(removable[-1] + 1))
         self.trimmed_to = removable[-1] + 1
@@ -380,7 +391,7 @@
             await self.remove_segment(number)
 
     async def remove_segment(self, number: int) -> None:
-        """Remove a segment and its hint; its going lasts before the next one's."""
+        """Remove a segment and its hint durably, before the next one is removed."""
         self.segments.pop(number, None)
         if hint_name(number) in self.files.names():
             self.files.remove(hint_name(number))
--- a/otterquay/store/format_v1.py
+++ b/otterquay/store/format_v1.py
@@ -1,7 +1,7 @@
-"""Version 1 of the store's files, read only to be upgraded: a log of one record a batch, and bases.
+"""File format version 1, read for upgrades only: log segments with one record per batch, and base snapshots.
 
-A base stood for all segments up to its number. A batch named the last sequence number that was synced when it was
-written: by that a torn group at the end was told from damage to what was synced.
+A base replaced all segments up to its number. Each batch held the last sequence number that was synced when it was
+written, which distinguishes a torn group at the end from damage to synced records.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from otterquay.store.files import numbered
 
 MAGIC, VERSION = b"oqstore\0", 1
-_FILE_HEADER = struct.Struct("<8sHBxIQQ")  # magic, version, kind, reserved, number, tag
-_RECORD_HEADER = struct.Struct("<IBxxxQQQ")  # length, kind, sequence, synced, tag
+_FILE_HEADER = struct.Struct("<8sHBxIQQ")  # magic, version, kind, reserved, number, checksum
+_RECORD_HEADER = struct.Struct("<IBxxxQQQ")  # length, kind, sequence, synced, checksum
 LOG, BASE = 1, 2
 BATCH, PIECE, END = 1, 2, 3
 HEADER_SIZE, RECORD_HEADER_SIZE = _FILE_HEADER.size, _RECORD_HEADER.size
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A whole record and where it stands."""
+    """An intact record; `start` and `end` are offsets in the file."""
 
     kind: int
     sequence: int
@@ -39,7 +39,7 @@
 
 
 class FormatError(Exception):
-    """Bytes at `offset` that are no whole record or head."""
+    """The bytes at `offset` are no intact record or header."""
 
     def __init__(self, offset: int, reason: str) -> None:
         super().__init__(f"offset {offset}: {reason}")
@@ -52,44 +52,44 @@
 
 
 def write_header(kind: int, number: int) -> bytes:
-    """The head of a file."""
+    """Encode a file header."""
     checksum = xxhash.xxh3_64_intdigest(struct.pack("<HBQ", VERSION, kind, number))
     return _FILE_HEADER.pack(MAGIC, VERSION, kind, 0, number, checksum)
 
 
 def read_header(data: bytes, kind: int, number: int) -> None:
-    """Check a head; Bad where it is not that of this file, or of a later version."""
+    """Check a file header; FormatError if it is damaged, belongs to another file or has a later version."""
     if len(data) < HEADER_SIZE:
-        raise FormatError(0, "the head is cut short")
+        raise FormatError(0, "file header is truncated")
     magic, version, found, reserved, named, checksum = _FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise FormatError(0, "not a store's file")
+        raise FormatError(0, "not a store file")
     if version > VERSION:
         raise FormatError(0, f"written by version {version}, this one reads up to {VERSION}")
     whole = data[:HEADER_SIZE] == write_header(kind, number)
     if not whole or (found, named, reserved) != (kind, number, 0) or not checksum:
-        raise FormatError(0, "the head is damaged or another file's")
+        raise FormatError(0, "file header is damaged or belongs to another file")
 
 
 def read_record(data: bytes, offset: int, number: int) -> Record:
-    """The record at `offset`, or Bad."""
+    """Decode the record at `offset`; FormatError if it is not intact."""
     if offset + RECORD_HEADER_SIZE > len(data):
-        raise FormatError(offset, "a record's head is cut short")
+        raise FormatError(offset, "record header is truncated")
     length, kind, sequence, synced, checksum = _RECORD_HEADER.unpack_from(data, offset)
     end = offset + RECORD_HEADER_SIZE + length
     if length > MAX_CONTENT_BYTES or end > len(data):
-        raise FormatError(offset, "a record is cut short")
+        raise FormatError(offset, "record is truncated")
     content = data[offset + RECORD_HEADER_SIZE : end]
     if (
         data[offset + 5 : offset + 8] != b"\0\0\0"
         or _record_checksum(number, kind, sequence, synced, content) != checksum
     ):
-        raise FormatError(offset, "a record's tag does not fit")
+        raise FormatError(offset, "record checksum mismatch")
     return Record(kind, sequence, synced, msgspec.msgpack.decode(content, type=list[Change]), offset, end)
 
 
 def records(data: bytes, number: int) -> Iterator[Record]:
-    """The records after the head, until the end; Bad at the first that is none."""
+    """The records after the header; FormatError at the first that is not intact."""
     offset = HEADER_SIZE
     while offset < len(data):
         record = read_record(data, offset, number)
@@ -98,7 +98,7 @@
 
 
 def later_record(data: bytes, offset: int, number: int, sequence: int) -> int | None:
-    """Where a whole record after `offset` stands that was written when `sequence` was synced, if any does."""
+    """Offset of an intact record after `offset` that was written after the sync of `sequence`, or None."""
     for at in range(offset + 1, len(data) - RECORD_HEADER_SIZE + 1):
         length, kind, _, synced, _ = _RECORD_HEADER.unpack_from(data, at)
         if kind == BATCH and synced >= sequence and at + RECORD_HEADER_SIZE + length <= len(data):
@@ -111,12 +111,12 @@
 
 
 def has_files(names: Sequence[str]) -> bool:
-    """Whether files of this version are there."""
+    """Whether there are files of this version."""
     return bool(numbered(names, ".base") or numbered(names, ".log"))
 
 
 def read_all(names: Sequence[str], read: Callable[[str], bytes]) -> dict[tuple[str, bytes], bytes]:
-    """All that a folder of this version holds; Bad with the file's name in front of the reason."""
+    """All keys and values in a folder of this version; FormatError with the file's name before the reason."""
     bases, logs = numbered(names, ".base"), numbered(names, ".log")
     base_number, sequence, ended = bases[-1] if bases else 0, 0, not bases
     held: dict[tuple[str, bytes], bytes] = {}
@@ -124,7 +124,7 @@
     logs = [n for n in logs if n > base_number]
     files += [(LOG, n, f"{n:016x}.log") for n in logs]
     if logs != list(range(base_number + 1, base_number + 1 + len(logs))) or not logs:
-        raise FormatError(0, f"{base_number + 1:016x}.log: a segment is gone")
+        raise FormatError(0, f"{base_number + 1:016x}.log: segment is missing")
     for kind, number, name in files:
         data, good = read(name), 0
         try:
@@ -150,5 +150,5 @@
             if not torn:
                 raise FormatError(error.offset, f"{name}: {error.reason}") from None
         if not ended:
-            raise FormatError(len(data), f"{name}: the base has no end")
+            raise FormatError(len(data), f"{name}: base has no END record")
     return held
--- a/otterquay/store/hints.py
+++ b/otterquay/store/hints.py
@@ -1,4 +1,4 @@
-"""Hints: where the last places of a closed segment's keys stand, so that opening need not read its values."""
+"""Hint files: the last place of each key in a closed segment, so that opening need not read the segment itself."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from otterquay.store.engine import Store
 
-HINT_KEYS = 2048  # keys in a piece of a hint; between pieces other work of the loop goes on
+HINT_KEYS = 2048  # keys per listing record; the event loop runs other tasks between records
 
 
 async def write_hint(store: Store, number: int, key_changes: KeyChanges, sequence: int, oldest: int) -> None:
-    """Without sync or rename: a hint that is not whole, or not of its segment, is not taken.
+    """Write the hint of a closed segment, without sync or rename: opening ignores an incomplete or foreign hint.
 
-    `oldest` is what a lasting TRIM says. Opening takes segments away on a hint's word, and a hint may be lost by a
-    power cut that the TRIM outlives: it must never say more than the log does.
+    `oldest` comes from a durable TRIM. Opening removes segments that a hint declares obsolete, and a power cut may
+    lose the hint but not the TRIM: a hint must never be ahead of the log.
     """
     name, segment = hint_name(number), store.segments.get(number)
     try:
@@ -33,13 +33,13 @@
             for i in range(0, len(keys), HINT_KEYS):
                 if number not in store.segments or store.failed:
                     return
-                found, removed = list[tuple[bytes, int, int]](), list[bytes]()
+                live, removed = list[tuple[bytes, int, int]](), list[bytes]()
                 for key in keys[i : i + HINT_KEYS]:
                     last = changed[key]
                     if last is None:
                         removed.append(key)
                     else:
-                        found.append((key, *last))
+                        live.append((key, *last))
                 store.files.append(
                     name,
                     fm.write_record(
@@ -48,7 +48,7 @@
                         sequence,
                         store.time,
                         max(store.last_clock, 0),
-                        fm.write_listing(table, found, removed),
+                        fm.write_listing(table, live, removed),
                     ),
                 )
                 await asyncio.sleep(0)
@@ -56,19 +56,22 @@
         store.files.append(
             name, fm.write_record(number, fm.END, sequence, store.time, max(store.last_clock, 0), closing)
         )
-    except OSError as error:  # the store is as good without it
+    except OSError as error:  # the store works without the hint
         store.log.warning("hint_not_written", file=name, reason=str(error))
 
 
 def load_hint(store: Store, number: int) -> bool:
-    """Whether the hint is whole and of this segment; then its places are loaded. Damaged: the segment is not."""
+    """Load the places of a segment's hint; False if the hint is incomplete or belongs to another segment.
+
+    StoreCorrupted: the size or sequence of the segment does not match.
+    """
     name = hint_name(number)
-    found = list[tuple[fm.Listing, list[int]]]()
+    listings = list[tuple[fm.Listing, list[int]]]()
     try:
         data = store.files.read(name)
-        head = store.files.read(segment_name(number), 0, fm.HEADER_SIZE)
+        segment_header = store.files.read(segment_name(number), 0, fm.HEADER_SIZE)
         first = fm.read_header(data, fm.HINT, number)
-        if first != fm.read_header(head, fm.SEGMENT, number):
+        if first != fm.read_header(segment_header, fm.SEGMENT, number):
             return False
         closing, record = None, None
         for record in fm.records(data, number):
@@ -76,7 +79,7 @@
                 closing = fm.read_closing(record.content)
             elif record.kind == fm.LISTING and closing is None:
                 listing, places = fm.read_listing(record.content)
-                found.append((listing, list(places)))
+                listings.append((listing, list(places)))
             else:
                 return False
     except (fm.FormatError, msgspec.MsgspecError, OSError, ValueError) as error:
@@ -87,11 +90,11 @@
     size = store.files.size(segment_name(number))
     if closing.size != size:
         raise StoreCorrupted(
-            segment_name(number), min(size, closing.size), f"{size} bytes where {closing.size} were closed"
+            segment_name(number), min(size, closing.size), f"{size} bytes, but it was closed with {closing.size}"
         )
     check_sequence(store, number, first)
-    for listing, at in found:
-        store.index.load(listing.table, number, listing.keys, at, listing.ends, listing.removed)
+    for listing, entry_places in listings:
+        store.index.load(listing.table, number, listing.keys, entry_places, listing.ends, listing.removed)
     store.sequence, store.oldest = closing.sequence, max(store.oldest, closing.oldest)
     store.time, store.last_clock = max(store.time, record.time), record.clock
     store.segments[number] = Segment(size, first)
@@ -99,8 +102,10 @@
 
 
 def check_sequence(store: Store, number: int, first: int) -> None:
-    """A segment follows on the one before it; Damaged where it does not."""
+    """Check that a segment's first record follows the last record so far; StoreCorrupted if not."""
     if store.segments and first != store.sequence + 1:
-        raise StoreCorrupted(segment_name(number), 0, f"begins with record {first} after {store.sequence}")
+        raise StoreCorrupted(
+            segment_name(number), 0, f"begins with record {first}, but the last one was {store.sequence}"
+        )
     if not store.segments:
         store.sequence = first - 1
--- a/otterquay/store/index.py
+++ b/otterquay/store/index.py
@@ -1,7 +1,7 @@
-"""What the store holds, in memory: for each key of each table the place of its entry. No I/O, no clock.
+"""The in-memory index: the place of the current entry of each key of each table. No I/O, no clock.
 
-A place is one number: segment << 64 | offset << 32 | length of the entry. Views see the index as it was when they
-were taken: before a key changes, each open view is given the place that it had.
+A place is one integer: segment << 64 | offset << 32 | length of the entry. Views see the index as it was when they
+were opened: before a key changes, its old place is saved in the undo log of each open view.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 from sortedcontainers import SortedList
 
 LENGTH_MASK = 0xFFFFFFFF
-SCAN_CHUNK_KEYS = 256  # keys taken from an order at a time by a scan
+SCAN_CHUNK_KEYS = 256  # keys that a scan reads from the sorted list at a time
 
 
 def pack_place(segment: int, offset: int, length: int) -> int:
-    """Pack a place."""
+    """Encode a place as one integer."""
     return segment << 64 | offset << 32 | length
 
 
-def unpack_place(at: int) -> tuple[int, int, int]:
-    """Segment, offset and length of a place."""
-    return at >> 64, at >> 32 & LENGTH_MASK, at & LENGTH_MASK
+def unpack_place(place: int) -> tuple[int, int, int]:
+    """Decode a place into segment, offset and length."""
+    return place >> 64, place >> 32 & LENGTH_MASK, place & LENGTH_MASK
 
 
 class Table:
-    """One table: places by key, ends of life of those that have one, and keys in order once asked for."""
+    """One table: places and expiry times by key, and the sorted keys once they have been requested."""
 
     __slots__ = ("expiry_times", "places", "sorted_keys")
 
@@ -37,27 +37,26 @@
         self.sorted_keys: SortedList[bytes] | None = None
 
     def keys_in_order(self) -> SortedList[bytes]:
-        """The keys in order, kept so from now on."""
+        """The sorted keys; maintained from the first call on."""
         if self.sorted_keys is None:
             self.sorted_keys = SortedList(self.places)
         return self.sorted_keys
 
 
 class Undo:
-    """What one view must see in place of the index; `now` is store time in ms when it was taken."""
+    """The undo log of one view: old places of keys changed since it was opened at `now`, store time in ms."""
 
     __slots__ = ("now", "previous", "removed_keys")
 
     def __init__(self, now: int) -> None:
         self.now = now
-        self.previous: dict[
-            tuple[str, bytes], tuple[int, int] | None
-        ] = {}  # place and end of life, None: no key then
-        self.removed_keys: dict[str, SortedList[bytes]] = {}  # keys that left the index since
+        # by table and key: place and expiry, or None for a key that did not exist
+        self.previous: dict[tuple[str, bytes], tuple[int, int] | None] = {}
+        self.removed_keys: dict[str, SortedList[bytes]] = {}  # by table: keys removed from the index since
 
 
 class Index:
-    """All tables, the bytes of entries that count, and open views."""
+    """All tables, the number of live bytes and the undo logs of open views."""
 
     def __init__(self) -> None:
         self.tables: dict[str, Table] = {}
@@ -65,8 +64,8 @@
         self.open_views: list[Undo] = []
         self._expiry_heap: list[tuple[int, str, bytes]] = []
 
-    def put(self, name: str, key: bytes, at: int, expires_at: int = 0) -> None:
-        """A key has this entry now."""
+    def put(self, name: str, key: bytes, place: int, expires_at: int = 0) -> None:
+        """Set the current entry of a key."""
         table = self.tables.get(name)
         if table is None:
             table = self.tables[name] = Table()
@@ -78,21 +77,21 @@
                 table.sorted_keys.add(key)
         else:
             self.live_bytes -= old & LENGTH_MASK
-        table.places[key] = at
-        self.live_bytes += at & LENGTH_MASK
+        table.places[key] = place
+        self.live_bytes += place & LENGTH_MASK
         if expires_at:
             table.expiry_times[key] = expires_at
             heappush(self._expiry_heap, (expires_at, name, key))
         elif table.expiry_times:
             table.expiry_times.pop(key, None)
 
-    def relocate(self, name: str, key: bytes, at: int) -> None:
-        """A key's entry was written again elsewhere, the same; the key may have ended meanwhile."""
+    def relocate(self, name: str, key: bytes, place: int) -> None:
+        """Update the place of an entry that compaction rewrote, unless the key has expired meanwhile."""
         if key in self.tables[name].places:
-            self.tables[name].places[key] = at
+            self.tables[name].places[key] = place
 
     def remove(self, name: str, key: bytes) -> None:
-        """A key is no more."""
+        """Remove a key."""
         table = self.tables.get(name)
         old = table.places.get(key) if table else None
         if table is None or old is None:
@@ -108,12 +107,12 @@
             table.sorted_keys.remove(key)
 
     def _save_for_views(self, name: str, key: bytes, table: Table, old: int | None) -> None:
-        was = None if old is None else (old, table.expiry_times.get(key, 0))
+        old_entry = None if old is None else (old, table.expiry_times.get(key, 0))
         for undo in self.open_views:
-            undo.previous.setdefault((name, key), was)
+            undo.previous.setdefault((name, key), old_entry)
 
     def expire(self, now: int, max_keys: int) -> int:
-        """Drop up to `most` keys whose life has ended by `now`, ms of store time; how many went."""
+        """Remove up to `max_keys` keys that have expired by `now`, store time in ms; returns how many."""
         expired = 0
         while expired < max_keys and self._expiry_heap and self._expiry_heap[0][0] <= now:
             expires_at, name, key = heappop(self._expiry_heap)
@@ -128,17 +127,17 @@
         segment: int,
         keys: list[bytes],
         places: Iterable[int],
-        ends: list[tuple[int, int]],
+        expiries: list[tuple[int, int]],
         removed: list[bytes],
     ) -> None:
-        """The last places of many keys in one segment, as a hint has them; `settle` counts what is alive."""
+        """Load the places from a segment's hint; call `recount_live_bytes` after the last one."""
         table = self.tables.setdefault(name, Table())
         base = segment << 64
         table.places.update(zip(keys, [base | p for p in places], strict=True))
         if table.expiry_times:
             for key in keys:
                 table.expiry_times.pop(key, None)
-        for i, expires_at in ends:
+        for i, expires_at in expiries:
             table.expiry_times[keys[i]] = expires_at
             heappush(self._expiry_heap, (expires_at, name, keys[i]))
         for key in removed:
@@ -146,34 +145,37 @@
             table.expiry_times.pop(key, None)
 
     def recount_live_bytes(self) -> None:
-        """Count the bytes that are alive anew, after `load`."""
-        self.live_bytes = sum(at & LENGTH_MASK for t in self.tables.values() for at in t.places.values())
+        """Recount the live bytes, after `load`."""
+        self.live_bytes = sum(place & LENGTH_MASK for t in self.tables.values() for place in t.places.values())
 
     def find(self, name: str, key: bytes, now: int, undo: Undo | None = None) -> int | None:
-        """The place of a key that is alive at `now`, or at the time of the view; None where there is none."""
+        """The place of a key that is live at `now`, or in the view of `undo`; None if there is none."""
         if undo is not None:
             now = undo.now
             if (name, key) in undo.previous:
-                was = undo.previous[name, key]
-                return None if was is None or 0 < was[1] <= now else was[0]
+                old_entry = undo.previous[name, key]
+                return None if old_entry is None or 0 < old_entry[1] <= now else old_entry[0]
         table = self.tables.get(name)
-        at = table.places.get(key) if table else None
-        if table is None or at is None or (table.expiry_times and 0 < table.expiry_times.get(key, 0) <= now):
+        place = table.places.get(key) if table else None
+        if table is None or place is None or (table.expiry_times and 0 < table.expiry_times.get(key, 0) <= now):
             return None
-        return at
+        return place
 
     def keys(self, name: str, first: bytes, before: bytes | None, undo: Undo) -> Iterator[bytes]:
-        """Keys in order that the view may hold, from `first` to under `before`; the index may change meanwhile."""
+        """Sorted keys, from `first` up to but without `before`, that the view may hold.
+
+        The index may change during the iteration.
+        """
         table = self.tables.get(name)
-        order = table.keys_in_order() if table else SortedList[bytes]()
+        sorted_keys = table.keys_in_order() if table else SortedList[bytes]()
         start, inclusive = first, True
         while True:
-            chunk = list(islice(order.irange(start, before, (inclusive, False)), SCAN_CHUNK_KEYS))
+            chunk = list(islice(sorted_keys.irange(start, before, (inclusive, False)), SCAN_CHUNK_KEYS))
             full = len(chunk) == SCAN_CHUNK_KEYS
-            gone = undo.removed_keys.get(name)
-            if gone:
+            removed = undo.removed_keys.get(name)
+            if removed:
                 end, closed = (chunk[-1], True) if full else (before, False)
-                chunk = sorted({*chunk, *gone.irange(start, end, (inclusive, closed))})
+                chunk = sorted({*chunk, *removed.irange(start, end, (inclusive, closed))})
             yield from chunk
             if not full:
                 return
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -725,7 +725,7 @@
     touched = {(e.table, e.key) for e in fm.entries(broken, int(name[:16], 16))}
     damaged, to = FaultDisk(files), FaultDisk()
     report = asyncio.run(rc.salvage(damaged, to, silent(), clock))
-    assert report.damage == [(name, broken.start, "a record's tag does not fit")]
+    assert report.damage == [(name, broken.start, "record checksum mismatch")]
     assert report.missing == [(broken.sequence, broken.sequence)]
     store = tt.run_sync(open_test_store(to, clock=clock))
     want = REFERENCE.expected(max(REFERENCE.states), store)
