--- a/otterquay/store/files.py
+++ b/otterquay/store/files.py
@@ -1,4 +1,4 @@
-"""The file layer under the store, handed in so that faults can be put in its place. Names are of one folder."""
+"""The file layer of the store, passed in so that tests can replace it. All files are in one folder."""
 
 from __future__ import annotations
 
@@ -13,13 +13,16 @@
 LOCK = "lock"
 
 
-def numbered(names: Sequence[str], ending: str) -> list[int]:
-    """The numbers of files named by sixteen hexadecimal digits and this ending, in order."""
-    return sorted(int(n[:16], 16) for n in names if n.endswith(ending) and len(n) == 16 + len(ending))
+def numbered(names: Sequence[str], suffix: str) -> list[int]:
+    """Sorted numbers of the files named by sixteen hexadecimal digits and this suffix."""
+    return sorted(int(n[:16], 16) for n in names if n.endswith(suffix) and len(n) == 16 + len(suffix))
 
 
 class Files(Protocol):
-    """What the store asks of a disk. Anything may raise OSError; after `sync` and `sync_folder` it must last."""
+    """File operations that the store needs. Any may raise OSError.
+
+    Data is durable after `sync`, and created, renamed or removed names are after `sync_folder`.
+    """
 
     def names(self) -> list[str]: ...
 
@@ -49,7 +52,7 @@
 
 
 class Disk:
-    """Real files in a folder, which is made when it is not there; a sync holds up the loop while it lasts."""
+    """Files in a folder, which is created if missing. Syncs block the event loop."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -58,23 +61,23 @@
         self._lock: int | None = None
 
     def names(self) -> list[str]:
-        """All names but the lock's."""
+        """All file names but that of the lock."""
         return sorted(n for n in os.listdir(self.folder) if n != LOCK)
 
     def _file(self, name: str) -> int:
         if name not in self._open:
             try:
                 self._open[name] = os.open(self.folder / name, os.O_RDWR)
-            except PermissionError:  # enough for looking in
+            except PermissionError:  # enough for a read-only store
                 self._open[name] = os.open(self.folder / name, os.O_RDONLY)
         return self._open[name]
 
     def size(self, name: str) -> int:
-        """Bytes of a file."""
+        """Size of a file in bytes."""
         return os.fstat(self._file(name)).st_size
 
     def read(self, name: str, offset: int = 0, length: int = -1) -> bytes:
-        """Bytes from `offset`, all that follow for a length under 0; fewer where the file ends."""
+        """Read `length` bytes from `offset`, or all that follow if it is negative; fewer at the end of the file."""
         file = self._file(name)
         length = length if length >= 0 else max(os.fstat(file).st_size - offset, 0)
         found = os.pread(file, length, offset)
@@ -83,30 +86,30 @@
         return found
 
     def create(self, name: str) -> None:
-        """A new, empty file; FileExistsError when there is one."""
+        """Create an empty file; FileExistsError if it exists."""
         self._open[name] = os.open(self.folder / name, os.O_RDWR | os.O_CREAT | os.O_EXCL, 0o644)
 
     def append(self, name: str, data: bytes) -> None:
-        """All of `data` at the end, also where the system takes it in pieces."""
+        """Append all of `data`, retrying short writes."""
         self.write_at(name, self.size(name), data)
 
     def write_at(self, name: str, offset: int, data: bytes) -> None:
-        """All of `data` over what is there from `offset` on."""
+        """Write all of `data` at `offset`, retrying short writes."""
         view, file = memoryview(data), self._file(name)
         while view:
             wrote = os.pwrite(file, view, offset)
             view, offset = view[wrote:], offset + wrote
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file."""
+        """Truncate a file."""
         os.ftruncate(self._file(name), size)
 
     async def sync(self, name: str) -> None:
-        """What was written to a file lasts, with its size (fdatasync, POSIX)."""
+        """Make the data and size of a file durable (fdatasync)."""
         os.fdatasync(self._file(name))
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, in place of one that may have it."""
+        """Rename a file, replacing any file with the new name."""
         os.replace(self.folder / old, self.folder / new)
         if new in self._open:
             os.close(self._open.pop(new))
@@ -120,7 +123,7 @@
         (self.folder / name).unlink()
 
     async def sync_folder(self) -> None:
-        """Names that were made, changed and removed last."""
+        """Make created, renamed and removed names durable."""
         folder = os.open(self.folder, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -128,7 +131,7 @@
             os.close(folder)
 
     def lock(self) -> bool:
-        """Whether this process, and no other, now writes here (flock; it goes with the process)."""
+        """Take the exclusive lock (flock, released with the process); False if another process holds it."""
         self._lock = os.open(self.folder / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -139,7 +142,7 @@
         return True
 
     async def close(self) -> None:
-        """Close all, and let go of the lock."""
+        """Close all files and release the lock."""
         for file in self._open.values():
             os.close(file)
         self._open.clear()
@@ -149,19 +152,19 @@
 
 
 class BackgroundSyncDisk(Disk):
-    """A disk whose files are synced by a process of its own, so that the loop goes on meanwhile.
+    """A disk whose files are synced by a subprocess, so that syncs do not block the event loop.
 
-    The process keeps each file open from its first sync on: an error of writing that came since is told there
-    once. When it ends unasked, syncs fail from then on, and with them the store.
+    The subprocess keeps each file open from its first sync on: the kernel reports a write error since then once, to
+    that descriptor. If the subprocess ends unexpectedly, all later syncs fail, and with them the store.
     """
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
-        self._helper: asyncio.subprocess.Process | None = None
+        self._sync_process: asyncio.subprocess.Process | None = None
 
-    async def _ask(self, line: str) -> None:
-        if self._helper is None:
-            self._helper = await asyncio.create_subprocess_exec(
+    async def _request(self, line: str) -> None:
+        if self._sync_process is None:
+            self._sync_process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-S",
                 str(Path(__file__).with_name("syncer.py")),
@@ -169,31 +172,31 @@
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
                 start_new_session=True,
-            )  # a terminal's signals are not for it: it ends with its pipe
-        source, sink = self._helper.stdout, self._helper.stdin
-        assert source is not None and sink is not None
+            )  # a new session keeps the terminal's signals away: it ends when its pipe is closed
+        responses, requests = self._sync_process.stdout, self._sync_process.stdin
+        assert responses is not None and requests is not None
         try:
-            sink.write(line.encode() + b"\n")
-            answer = await source.readline()
+            requests.write(line.encode() + b"\n")
+            answer = await responses.readline()
         except (ConnectionError, RuntimeError) as error:
-            raise OSError(f"the process that syncs is gone: {error}") from None
+            raise OSError(f"sync subprocess has ended: {error}") from None
         if answer != b"0\n":
             code = int(answer or b"0")
-            raise OSError(code, os.strerror(code)) if code else OSError("the process that syncs is gone")
+            raise OSError(code, os.strerror(code)) if code else OSError("sync subprocess has ended")
 
     async def sync(self, name: str) -> None:
-        """As `Disk.sync`, beside the loop."""
-        await self._ask(name)
+        """Like `Disk.sync`, in the subprocess."""
+        await self._request(name)
 
     async def sync_folder(self) -> None:
-        """As `Disk.sync_folder`, beside the loop."""
-        await self._ask("")
+        """Like `Disk.sync_folder`, in the subprocess."""
+        await self._request("")
 
     async def close(self) -> None:
-        """Close all; the helper ends with its pipe."""
+        """Close all files and end the subprocess."""
         await super().close()
-        if self._helper and self._helper.stdin:
-            helper, self._helper = self._helper, None
-            assert helper.stdin is not None
-            helper.stdin.close()
-            await helper.wait()
+        if self._sync_process and self._sync_process.stdin:
+            process, self._sync_process = self._sync_process, None
+            assert process.stdin is not None
+            process.stdin.close()
+            await process.wait()
--- a/otterquay/store/initialization.py
+++ b/otterquay/store/initialization.py
@@ -1,11 +1,11 @@
-"""How a folder becomes a store: the beginning, or an upgrade of version 1, whenever a crash cuts it off."""
+"""Creates a store in an empty folder or upgrades one of version 1; both are resumed after a crash at any step."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
 from otterquay.store import format as fm
-from otterquay.store import format_v1
+from otterquay.store import format1
 from otterquay.store.definitions import (
     IDENTITY_FILE,
     MAX_GROUP_BYTES,
@@ -21,7 +21,7 @@
 
 
 async def initialize(store: Store) -> None:
-    """Begin a store, finish a beginning or an upgrade that a crash cut off, and upgrade."""
+    """Create or upgrade the store, and finish a creation or upgrade that a crash interrupted."""
     files = store.files
     names = files.names()
     for name in names:
@@ -30,12 +30,12 @@
     segments = numbered(names, ".seg")
     if IDENTITY_FILE in names:
         check_identity(files)
-        if format_v1.has_files(names):  # an upgrade had lasted, and they had not all gone
+        if format1.has_files(names):  # an upgrade was complete, but not all old files were removed
             await _remove_old(files, names)
         return
-    old = format_v1.has_files(names)
+    old = format1.has_files(names)
     if not old and segments and (segments != [1] or files.size(segment_name(1)) > fm.HEADER_SIZE):
-        raise StoreCorrupted(IDENTITY_FILE, 0, "the file that says what this folder is, is gone")
+        raise StoreCorrupted(IDENTITY_FILE, 0, "file is missing, though the folder has segments")
     for number in segments:
         files.remove(segment_name(number))
     if segments:
@@ -55,7 +55,7 @@
 
 
 def check_identity(files: Files) -> None:
-    """Damaged where the folder does not say that it is a store of a version that is known."""
+    """Check that the folder is a store of a known version; StoreCorrupted if not."""
     try:
         fm.read_header(files.read(IDENTITY_FILE), fm.IDENTITY, 0)
     except fm.FormatError as error:
@@ -63,11 +63,11 @@
 
 
 async def _upgrade(store: Store, names: list[str]) -> None:
-    """Version 1: all that it holds goes into the first segment."""
+    """Write all keys of a version 1 store into the first segment."""
     files, name = store.files, segment_name(1)
     try:
-        held = format_v1.read_all(names, files.read)
-    except format_v1.FormatError as error:
+        held = format1.read_all(names, files.read)
+    except format1.FormatError as error:
         where, _, reason = error.reason.partition(": ")
         raise StoreCorrupted(where, error.offset, f"version 1: {reason}") from None
     files.create(name)
--- a/otterquay/store/recovery.py
+++ b/otterquay/store/recovery.py
@@ -1,14 +1,14 @@
-"""Opening a store: what a crash may have left is put in order, and anything else is refused with file and offset.
+"""Opening a store: repairs every state that a crash can leave and rejects any other, with file and offset.
 
 Which states a crash can leave follows from the order of the engine's steps:
 
-- A segment's name and head last before the CLOSE that ends the one before, so a segment missing after a CLOSE, or
-  between two others, was lost otherwise.
+- A segment's name and header are durable before the CLOSE of the segment before it. A segment that is missing after
+  a CLOSE, or between two others, was therefore not lost by a crash.
 - A record is appended once the one before it is synced: only the newest can be torn. It is the last of the last
   segment or, while that one is still empty, the CLOSE before it.
-- A segment goes once a TRIM that says so is synced, the oldest first, and its going lasts before the next one's:
-  what may come back is one segment older than the newest TRIM, and all later ones are there still.
-- `format` gets its name once the first segment, or what an upgrade wrote, lasts.
+- Segments are removed after a TRIM that names them is synced, the oldest first, and each removal is durable before
+  the next: a crash can bring back one segment older than the newest TRIM, and all later ones still exist.
+- `format` gets its name once the first segment, or the result of an upgrade, is durable.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from otterquay.store.index import pack_place
 from otterquay.store.initialization import check_identity, initialize
 
-MAX_READ_ATTEMPTS = 8  # times that reading beside a writer begins anew
+MAX_READ_ATTEMPTS = 8  # attempts to read a store while a writer changes it
 
 
 async def open_store(
@@ -43,13 +43,16 @@
     read_only: bool = False,
     hints: bool = True,
 ) -> Store:
-    """Recover what is there, or begin. `clock` is in seconds and may start anywhere; it ends lives of entries.
+    """Open a store, recovering it after a crash, or create it.
 
-    `look` takes no lock, changes nothing and yields a store that takes no writes; a writer may be at work.
-    StoreFailed: another process has it, or, to look, there is none. Damaged: it cannot be trusted. OSError.
+    Entries expire by `clock`, which is in seconds and may start at any value.
+
+    With `read_only` it takes no lock, changes nothing and returns a store without writes; a writer may be active.
+    StoreFailed: another process holds the store or, with `read_only`, there is none. StoreCorrupted: the files are
+    damaged. OSError.
     """
     if not read_only and not files.lock():
-        raise StoreFailed("another process has this store open")
+        raise StoreFailed("another process holds the lock of this store")
     try:
         for attempt in range(MAX_READ_ATTEMPTS):
             store = Store(files, log, clock, options or Options())
@@ -57,17 +60,17 @@
                 if not read_only:
                     await initialize(store)
                 elif IDENTITY_FILE not in files.names():
-                    raise StoreFailed("no store of this version is here")
+                    raise StoreFailed("folder has no store of this version")
                 await _recover(store, read_only, hints)
                 break
-            except (StoreCorrupted, FileNotFoundError):  # a writer rolls or removes segments while they are read
+            except (StoreCorrupted, FileNotFoundError):  # a writer may roll or remove segments meanwhile
                 if not read_only or attempt == MAX_READ_ATTEMPTS - 1:
                     raise
     except BaseException:
         await files.close()
         raise
     if read_only:
-        store.failed = "opened to look in"
+        store.failed = "opened read-only"
     return store
 
 
@@ -77,10 +80,10 @@
     check_identity(files)
     numbers = numbered(names, ".seg")
     if not numbers:
-        raise StoreCorrupted(segment_name(1), 0, "all segments are gone")
+        raise StoreCorrupted(segment_name(1), 0, "all segments are missing")
     for expected, number in enumerate(numbers, numbers[0]):
         if number != expected:
-            raise StoreCorrupted(segment_name(expected), 0, "a segment is gone")
+            raise StoreCorrupted(segment_name(expected), 0, "segment is missing")
     store.active_segment, last = numbers[0], numbers[-1]
     newest = dict[int, tuple[int, int]]()
     for number in numbers:
@@ -89,12 +92,12 @@
             newest[number] = await _replay(store, number, last, read_only)
         store.active_segment = number
     if store.oldest < numbers[0]:
-        raise StoreCorrupted(segment_name(store.oldest), 0, "the oldest segment is gone")
+        raise StoreCorrupted(segment_name(store.oldest), 0, "the oldest segment is missing")
     store.index.recount_live_bytes()
     store.now()
     if not read_only:
-        # a process may have ended between writing and syncing, or a sync may have failed and left pages that only
-        # look clean: what is shown from now on must last, so the newest record is written again over itself
+        # The process may have ended between a write and its sync, or a sync may have failed and left pages that the
+        # kernel takes for clean. Whatever readers see must be durable, so the newest record is rewritten in place.
         for number in numbers[-2:]:
             name = segment_name(number)
             if number in newest:
@@ -103,7 +106,7 @@
             await files.sync(name)
         await files.sync_folder()
         stale = [number for number in numbers if number < store.oldest]
-        if stale:  # a hint may have said so that an earlier version wrote ahead of its TRIM: the log says it first
+        if stale:  # hints of earlier versions may be ahead of the log: write the TRIM before segments are removed
             await store.append(fm.TRIM, fm.write_trim(store.oldest))
         for number in stale:
             await store.remove_segment(number)
@@ -111,56 +114,64 @@
 
 
 async def _replay(store: Store, number: int, last: int, read_only: bool) -> tuple[int, int]:
-    """Read a segment whole; the newest record may be torn, and is cut. Where its last record, or head, stands."""
+    """Apply all records of a segment, truncating a torn newest one; returns start and end of the last intact one.
+
+    Without any record these are those of the header.
+    """
     name, files = segment_name(number), store.files
     data = files.read(name)
-    start, good, closed, first = 0, 0, False, 0
+    start, valid_end, closed, first = 0, 0, False, 0
     store.key_changes = {}
     store.active_segment = number
     try:
         first = fm.read_header(data, fm.SEGMENT, number)
         check_sequence(store, number, first)
-        good = fm.HEADER_SIZE
+        valid_end = fm.HEADER_SIZE
         for record in fm.records(data, number):
             if closed or record.sequence != store.sequence + (record.kind != fm.CLOSE):
-                raise StoreCorrupted(name, record.start, f"record {record.sequence} after {store.sequence}")
+                raise StoreCorrupted(
+                    name, record.start, f"record {record.sequence} follows record {store.sequence}"
+                )
             closed = record.kind == fm.CLOSE
             _apply(store, number, record)
-            store.sequence, start, good = record.sequence, record.start, record.end
+            store.sequence, start, valid_end = record.sequence, record.start, record.end
             store.time, store.last_clock = max(store.time, record.time), record.clock
     except fm.FormatError as error:
         empty_after = number == last - 1 and files.size(segment_name(last)) <= fm.HEADER_SIZE
-        torn = number == last or (empty_after and good)
-        if good == 0:  # a head that no CLOSE vouches for was mended with the segment before it, unless one may not
+        torn = number == last or (empty_after and valid_end)
+        # a torn header with no CLOSE before it was already repaired with the previous segment, unless read-only
+        if valid_end == 0:
             torn = read_only and number == last and len(data) <= fm.HEADER_SIZE and bool(store.segments)
-        if not torn or (good and fm.next_record(data, error.offset, number, store.sequence) is not None):
+        if not torn or (valid_end and fm.next_record(data, error.offset, number, store.sequence) is not None):
             raise StoreCorrupted(name, error.offset, error.reason) from None
-        store.truncated_bytes += len(data) - good
-        store.log.warning("store_tail_cut", file=name, offset=good, bytes=len(data) - good, reason=error.reason)
+        store.truncated_bytes += len(data) - valid_end
+        store.log.warning(
+            "store_tail_cut", file=name, offset=valid_end, bytes=len(data) - valid_end, reason=error.reason
+        )
         if not read_only:
-            files.truncate(name, good)
+            files.truncate(name, valid_end)
             await files.sync(name)
-    store.segments[number] = Segment(good, first)
+    store.segments[number] = Segment(valid_end, first)
     if closed and number == last:
-        raise StoreCorrupted(segment_name(number + 1), 0, "the segment after a closed one is gone")
+        raise StoreCorrupted(segment_name(number + 1), 0, "the segment after a closed one is missing")
     if not closed and number != last:
         if number != last - 1 or files.size(segment_name(last)) > fm.HEADER_SIZE:
-            raise StoreCorrupted(name, good, "the segment was not closed and the next one is in use")
-        if not read_only:  # a crash came between the next segment and the CLOSE, or before the next one lasted
-            await _begin_segment(store, last)
+            raise StoreCorrupted(name, valid_end, "segment was not closed, but the next one has records")
+        if not read_only:  # crash after the next segment was created and before the CLOSE was synced
+            await _complete_segment(store, last)
             await store.append(fm.CLOSE, b"")
-            start, good = good, store.segments[number].size
-    return start, good
+            start, valid_end = valid_end, store.segments[number].size
+    return start, valid_end
 
 
-async def _begin_segment(store: Store, number: int) -> None:
-    """The next segment is there with its head, and lasts."""
+async def _complete_segment(store: Store, number: int) -> None:
+    """Make the next segment and its header durable, writing the header if it is missing."""
     name, files = segment_name(number), store.files
-    head = fm.write_header(fm.SEGMENT, number, store.sequence + 1)
+    header = fm.write_header(fm.SEGMENT, number, store.sequence + 1)
     found = files.read(name)
-    if len(found) < len(head) or found == bytes(len(head)):
+    if len(found) < len(header) or found == bytes(len(header)):
         files.truncate(name, 0)
-        files.append(name, head)
+        files.append(name, header)
     await files.sync(name)
     await files.sync_folder()
 
--- a/otterquay/store/salvage.py
+++ b/otterquay/store/salvage.py
@@ -1,4 +1,4 @@
-"""Reading a store's files whole: to verify, to save what is left of a damaged one, to copy one that is in use."""
+"""Verification, salvage of damaged stores, and backup of stores that are in use."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @dataclass(slots=True)
 class Report:
-    """What `verify` or `salvage` found: (file, offset, reason) of what is not whole, and records read."""
+    """Result of `verify` or `salvage`: counts of intact records and entries, and all damage found."""
 
     records: int = 0
     entries: int = 0
-    time: int = 0  # the newest record's store time and clock, ms
+    time: int = 0  # store time and clock of the newest record, ms
     clock: int = 0
-    damage: list[tuple[str, int, str]] = field(default_factory=list)
-    missing: list[tuple[int, int]] = field(default_factory=list)  # first and last of sequence numbers not found
+    damage: list[tuple[str, int, str]] = field(default_factory=list)  # file, offset, reason
+    missing: list[tuple[int, int]] = field(default_factory=list)  # first and last of missing sequence numbers
 
 
 def verify(files: Files) -> Report:
-    """Read every record and entry, also those that opening takes from hints. OSError."""
+    """Read every record and entry, including the segments that opening loads from hints. OSError."""
     report = Report()
     sequence: int | None = None
     for number in numbered(files.names(), ".seg"):
@@ -49,7 +49,7 @@
             report.damage.append((name, error.offset, error.reason))
             found = fm.next_record(data, at, number)
             if found is None:
-                break  # the newest segment's end may be a torn record
+                break  # in the newest segment this may be a torn tail
             record = found
         if sequence is not None and record.sequence > sequence + 1:
             report.missing.append((sequence + 1, record.sequence - 1))
@@ -66,47 +66,48 @@
 
 
 async def salvage(damaged: Files, destination: Files, log: Logger, clock: Callable[[], float]) -> Report:
-    """Put what is whole of a damaged store into a new one. The damaged one is left as it is.
+    """Copy the intact records of a damaged store into a new one. The damaged store is not changed.
 
-    A change that is missing may have removed or replaced a key: then an older value shows, and `missing` says so.
+    A missing record may have removed or replaced a key, which then has an older value; see `missing`.
     """
     report, sequence = Report(), None
-    held: dict[tuple[str, bytes], fm.Entry] = {}
+    entries: dict[tuple[str, bytes], fm.Entry] = {}
 
     def on_entry(entry: fm.Entry) -> None:
         if entry.value is None:
-            held.pop((entry.table, entry.key), None)
+            entries.pop((entry.table, entry.key), None)
         else:
-            held[entry.table, entry.key] = entry
+            entries[entry.table, entry.key] = entry
 
     for number in numbered(damaged.names(), ".seg"):
         sequence = _read_segment(damaged, number, report, sequence, on_entry)
     store = await open_store(destination, log, clock)
     if store.tables() or store.sequence:
         await store.close()
-        raise StoreFailed("the folder to salvage into is not empty")
+        raise StoreFailed("destination folder is not empty")
     store.time, store.last_clock = report.time, report.clock
-    await store.commit_entries(list(held.values()))
+    await store.commit_entries(list(entries.values()))
     await store.close()
     return report
 
 
 async def backup(files: Files, destination: Files) -> tuple[int, int]:
-    """Copy a store that may be in use: all segments as far as they are; returns how many and their bytes.
+    """Copy all segments of a store that may be in use; returns their number and total bytes.
 
-    What was committed before is in the copy. A segment that compaction removes while it is copied begins it anew.
-    The copy's newest record may be torn: opening cuts it. OSError; FileExistsError when there is something there.
+    The copy has everything that was committed before the call. If compaction removes a segment before it is opened,
+    the copy starts again. The newest record of the copy may be torn; opening truncates it.
+    OSError; FileExistsError: the destination is not empty.
     """
     if destination.names():
-        raise FileExistsError("the folder to copy to is not empty")
+        raise FileExistsError("destination folder is not empty")
     for _ in range(MAX_READ_ATTEMPTS):
         numbers = numbered(files.names(), ".seg")
         try:
-            sizes = {n: files.size(segment_name(n)) for n in numbers}  # opens each: from here on it can be read
+            sizes = {n: files.size(segment_name(n)) for n in numbers}  # opens the files, which then stay readable
         except FileNotFoundError:
             continue
         if not numbers:
-            raise FileNotFoundError("no store is here")
+            raise FileNotFoundError("folder has no segments of a store")
         total = 0
         for n in numbers:
             name = segment_name(n)
@@ -120,4 +121,4 @@
         await destination.sync(IDENTITY_FILE)
         await destination.sync_folder()
         return len(numbers), total
-    raise FileNotFoundError("the store's segments went faster than they could be copied")
+    raise FileNotFoundError("compaction removed segments faster than they could be opened for the copy")
--- a/otterquay/store/syncer.py
+++ b/otterquay/store/syncer.py
@@ -1,6 +1,7 @@
-"""The process beside a store that syncs its files: a name a line in, an error number a line out, 0 for done.
+"""Subprocess that syncs a store's files: reads one file name per line, answers with an error number, 0 for success.
 
-An empty line syncs the folder. It ends with its input. Standard library alone, as it is started without packages.
+An empty line syncs the folder. The process ends at the end of its input. It uses the standard library only, as it
+is started without site packages.
 """
 
 import contextlib
@@ -9,7 +10,7 @@
 
 
 def main(folder: str) -> None:
-    """Serve until the input ends."""
+    """Answer requests until the end of the input."""
     files: dict[str, int] = {}
     for line in sys.stdin:
         name = line.rstrip("\n")
@@ -31,4 +32,4 @@
 if __name__ == "__main__":
     with contextlib.suppress(BrokenPipeError, KeyboardInterrupt):  # the store's process was killed
         main(sys.argv[1])
-    os._exit(0)  # without flushing to a pipe that is gone
+    os._exit(0)  # does not flush to a closed pipe
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -28,7 +28,7 @@
 from otterquay.store import Delete, Options, Put, Store, StoreCorrupted, StoreFailed, open_store
 from otterquay.store import engine as en
 from otterquay.store import format as fm
-from otterquay.store import format_v1 as f1
+from otterquay.store import format1 as f1
 from otterquay.store import salvage as rc
 from otterquay.store.files import BackgroundSyncDisk, Disk
 from otterquay.store.index import Index
@@ -352,10 +352,10 @@
         disk = BackgroundSyncDisk(tmp_path)
         store = await open_test_store(disk)
         await store.commit([Put("t", b"a", b"1")])
-        assert disk._helper is not None
-        disk._helper.kill()
-        await disk._helper.wait()
-        with pytest.raises(StoreFailed, match="syncs is gone"):
+        assert disk._sync_process is not None
+        disk._sync_process.kill()
+        await disk._sync_process.wait()
+        with pytest.raises(StoreFailed, match="sync subprocess has ended"):
             await store.commit([Put("t", b"b", b"2")])
         assert store.get("t", b"a") == b"1" and store.get("t", b"b") is None
         await store.close()
@@ -642,7 +642,7 @@
             sure = int(store.get("n", b"n") or b"0")
             looked = await open_store(Disk(tmp_path / "a"), silent(), lambda: 0.0, read_only=True)
             assert looked.get("n", b"n") == looked.get("m", b"m") and int(looked.get("n", b"n") or b"0") >= sure
-            with pytest.raises(StoreFailed, match="look"):
+            with pytest.raises(StoreFailed, match="read-only"):
                 await looked.commit([Put("a", b"b", b"c")])
             await rc.backup(Disk(tmp_path / "a"), Disk(tmp_path / f"copy{copy}"))
             restored = await open_test_store(Disk(tmp_path / f"copy{copy}"))
