--- a/otterquay/lab/torture.py
+++ b/otterquay/lab/torture.py
@@ -1,7 +1,8 @@
-"""Trials of the store: a cut and a flip at every byte, crashes at every step, processes killed under load.
+"""Torture tests of the store: truncation and bit flips at every byte, crashes at every step, processes killed.
 
-Each counts what it tried and what broke a promise: acknowledged and `lost`, never written and `invented`, a batch
-`half_shown`. The command is `otterquay lab store-torture`; the tests call the same trials with small numbers.
+Each trial counts the cases and the violated guarantees: acknowledged data that is `lost`, data that was never
+written (`invented`) and partial batches (`half_shown`). The command is `otterquay lab store-torture`; the tests run
+the same trials with small numbers.
 """
 
 from __future__ import annotations
@@ -24,13 +25,13 @@
 from otterquay.store.files import BackgroundSyncDisk, Disk
 
 T = TypeVar("T")
-State = dict[tuple[str, bytes], tuple[bytes, int]]  # value and end of life in ms of store time, 0 for none
+State = dict[tuple[str, bytes], tuple[bytes, int]]  # value and expiry in ms of store time, 0 for none
 SMALL_OPTIONS = Options(segment_bytes=700, slack=1.5)
 
 
 @dataclass(slots=True)
 class Count:
-    """What was tried and what broke."""
+    """Counts of the cases tried and of the guarantees violated."""
 
     cuts: int = 0
     flips: int = 0
@@ -42,16 +43,19 @@
     notes: list[str] = field(default_factory=list)
 
     def add(self, other: Count) -> None:
-        """Sum up."""
+        """Add the counts of another trial."""
         for name, value in asdict(other).items():
             setattr(self, name, getattr(self, name) + value)
 
     def failure_count(self) -> int:
-        """Promises that did not hold."""
+        """Number of violated guarantees."""
         return self.lost + self.invented + self.half_shown
 
     def check_state(self, found: State | None, allowed: list[State], where: str) -> None:
-        """`allowed` are the states that may show, the oldest first; None: it did not open, and had to."""
+        """Count a violation unless `found` is one of the `allowed` states, the oldest of which comes first.
+
+        `found` is None for a store that had to open and did not.
+        """
         if found is not None and found in allowed:
             return
         required, possible = (set(allowed[0]), set(allowed[0])) if allowed else (set(), set())
@@ -67,7 +71,7 @@
 
 
 class Clock:
-    """A clock to be set, seconds."""
+    """A settable clock, in seconds."""
 
     def __init__(self, now: float = 1000.0) -> None:
         self.now = now
@@ -77,27 +81,27 @@
 
 
 def run_sync(work: Coroutine[Any, Any, T]) -> T:
-    """Run what only waits for a disk that answers at once, also from within a running loop."""
+    """Run a coroutine that never suspends, as with a simulated disk; usable inside a running event loop."""
     try:
         work.send(None)
     except StopIteration as done:
         value: T = done.value
         return value
-    raise RuntimeError("it waits for something else than the disk")
+    raise RuntimeError("the coroutine suspended")
 
 
 def read_all(store: Store) -> State:
-    """All that shows, read entry by entry. Damaged where one cannot be."""
+    """Read all entries; StoreCorrupted if one cannot be read."""
     found = State()
     for name in store.tables():
-        ends = store.index.tables[name].expiry_times
+        expiry_times = store.index.tables[name].expiry_times
         for key, value in store.scan(name):
-            found[name, key] = value, ends.get(key, 0)
+            found[name, key] = value, expiry_times.get(key, 0)
     return found
 
 
 def apply_changes(state: State, changes: list[Change], now: int) -> State:
-    """The model: what holds after a batch given at this store time."""
+    """The reference model: the state after a batch that is committed at store time `now`."""
     after = dict(state)
     for change in changes:
         table_key = change.table, change.key
@@ -109,12 +113,12 @@
 
 
 def unexpired(state: State, now: int) -> State:
-    """What of a state has not ended."""
-    return {table_key: (value, ends) for table_key, (value, ends) in state.items() if not 0 < ends <= now}
+    """The entries of a state that have not expired at `now`."""
+    return {key: (value, expires_at) for key, (value, expires_at) in state.items() if not 0 < expires_at <= now}
 
 
 def random_batch(rng: random.Random) -> list[Change]:
-    """A few changes over two tables and a dozen keys; some end soon."""
+    """A few changes over two tables and a dozen keys; some expire soon."""
     changes: list[Change] = []
     for _ in range(rng.randint(1, 4)):
         table, key = rng.choice(["votes", "ledger"]), b"k%d" % rng.randrange(12)
@@ -127,11 +131,11 @@
 
 
 class Reference:
-    """A small store with all features in use, and every state that it went through by record."""
+    """A small store that uses all features, with its state after every record."""
 
     def __init__(self, seed: int) -> None:
         self.disk, self.clock = FaultDisk(), Clock()
-        self.states: dict[int, State] = {0: {}}  # by sequence number of the record
+        self.states: dict[int, State] = {0: {}}  # by sequence number of the newest record
         asyncio.run(self._fill(random.Random(seed)))
         self.files = self.disk.contents()
         self.last = max(n for n in self.files if n.endswith(".seg"))
@@ -150,7 +154,7 @@
             await store.commit(changes)
             state = apply_changes(state, changes, store.time)
             for _ in range(4):
-                await asyncio.sleep(0)  # compaction and the next segment follow the commit
+                await asyncio.sleep(0)  # lets compaction and the next segment follow the commit
             for sequence in range(before + 1, store.sequence + 1):
                 self.states[sequence] = state
         await store.close()
@@ -158,7 +162,7 @@
             self.states.setdefault(sequence, self.states[sequence - 1])
 
     def open_and_read(self, files: dict[str, bytes]) -> tuple[Store | None, State | None]:
-        """Open and read all; None where either tells of damage."""
+        """Open a store and read all entries; None if either reports damage."""
         try:
             store = run_sync(open_store(FaultDisk(files), silent(), self.clock, SMALL_OPTIONS))
             return store, read_all(store)
@@ -166,35 +170,41 @@
             return None, None
 
     def expected(self, sequence: int, store: Store) -> State:
-        """What must show after this record."""
+        """The state that readers must see after this record."""
         return unexpired(self.states[sequence], store.time)
 
 
 def truncate_everywhere(reference: Reference) -> Count:
-    """Cut each file at each byte. A segment before the last, cut, must be refused; the last loses its torn end."""
+    """Truncate each file at each byte.
+
+    The store must reject the truncation of any segment but the last, which loses its torn tail only.
+    """
     count = Count()
-    end = max(reference.states)
+    last_sequence = max(reference.states)
     for name, data in reference.files.items():
-        for cut in range(len(data)):
+        for length in range(len(data)):
             count.cuts += 1
-            store, found = reference.open_and_read({**reference.files, name: data[:cut]})
-            where = f"{name} cut at {cut}"
-            if name == reference.last and cut >= fm.HEADER_SIZE:
+            store, found = reference.open_and_read({**reference.files, name: data[:length]})
+            where = f"{name} truncated at {length}"
+            if name == reference.last and length >= fm.HEADER_SIZE:
                 number = int(name[:16], 16)
-                whole = sum(1 for r in fm.records(data, number) if r.end > cut)
-                allowed = reference.expected(end - whole, store) if store else {}
+                lost_records = sum(1 for r in fm.records(data, number) if r.end > length)
+                allowed = reference.expected(last_sequence - lost_records, store) if store else {}
                 count.check_state(found, [allowed], where)
             elif name.endswith(".hint"):
-                count.check_state(found, [reference.expected(end, store)] if store else [], where)
+                count.check_state(found, [reference.expected(last_sequence, store)] if store else [], where)
             elif store is not None:
-                count.check_state({("shown", b""): (b"", 0)}, [reference.expected(end, store)], where)
+                count.check_state({("shown", b""): (b"", 0)}, [reference.expected(last_sequence, store)], where)
     return count
 
 
 def flip_everywhere(reference: Reference) -> Count:
-    """Flip a bit in each byte of each file: told, or without effect, or the newest record taken for a torn end."""
+    """Flip a bit in each byte of each file.
+
+    The flip must be reported or have no effect, or the newest record is taken for a torn tail.
+    """
     count = Count()
-    end = max(reference.states)
+    last_sequence = max(reference.states)
     for name, data in reference.files.items():
         for at in range(len(data)):
             count.flips += 1
@@ -203,53 +213,53 @@
             store, found = reference.open_and_read({**reference.files, name: bytes(flipped)})
             if store is None or found is None:
                 continue
-            allowed = [reference.expected(end, store)]
+            allowed = [reference.expected(last_sequence, store)]
             if store.truncated_bytes and name == reference.last:
                 newest = list(fm.records(data, int(name[:16], 16)))[-1]
                 if at >= newest.start:
-                    allowed.append(reference.expected(end - 1, store))
+                    allowed.append(reference.expected(last_sequence - 1, store))
             count.check_state(found, allowed, f"{name} flipped at {at}")
     return count
 
 
 def crash_everywhere(seed: int, steps: int = 30, variants: int = 4) -> Count:
-    """Crash before every operation of a random workload, in several ways, and again while that is recovered."""
+    """Crash before every operation of a random workload, in several ways, and again during some recoveries."""
     rng, crashes, count = random.Random(seed), random.Random(seed + 1), Count()
     disk, clock = FaultDisk(), Clock()
     acknowledged: State = {}
     in_flight: list[State] = []
 
-    def check(left: FaultDisk, depth: int) -> None:
+    def check(crashed: FaultDisk, depth: int) -> None:
         count.crash_states += 1
         if depth and crashes.random() < 0.1:
-            left.before_change = lambda: check(left.after_power_loss(crashes), depth - 1)
+            crashed.before_change = lambda: check(crashed.after_power_loss(crashes), depth - 1)
         try:
-            store = run_sync(open_store(left, silent(), clock, SMALL_OPTIONS))
+            store = run_sync(open_store(crashed, silent(), clock, SMALL_OPTIONS))
             found: State | None = read_all(store)
             allowed = [unexpired(s, store.time) for s in (acknowledged, *in_flight)]
-        except StoreCorrupted as damage:
+        except StoreCorrupted as error:
             found, allowed = None, [{}]
-            count.notes.append(str(damage))
+            count.notes.append(str(error))
         count.check_state(found, allowed, f"seed {seed}: crash state {count.crash_states}")
 
-    def moment() -> None:
+    def crash_now() -> None:
         for _ in range(variants):
             check(disk.after_power_loss(crashes), 1)
         check(disk.after_kill(), 1)
 
     async def run() -> None:
         nonlocal disk, acknowledged
-        disk.before_change = moment
+        disk.before_change = crash_now
         store = await open_store(disk, silent(), clock, SMALL_OPTIONS)
         for _ in range(steps):
             clock.now += rng.random()
             if rng.random() < 0.1:
                 await store.compact()
-            if rng.random() < 0.1:  # the process ends, and the next one goes on
+            if rng.random() < 0.1:  # restart the process
                 disk.before_change = lambda: None
                 await store.close()
                 disk = disk.after_kill()
-                disk.before_change = moment
+                disk.before_change = crash_now
                 store = await open_store(disk, silent(), clock, SMALL_OPTIONS)
             group = [random_batch(rng) for _ in range(rng.choice([1, 1, 3]))]
             store.now()
@@ -263,26 +273,27 @@
 
     try:
         asyncio.run(run())
-    except (StoreFailed, StoreCorrupted) as error:  # on a disk that did all it was asked for
+    except (StoreFailed, StoreCorrupted) as error:  # must not happen on a disk without faults
         count.check_state(None, [{}], f"seed {seed}: {error}")
     return count
 
 
 # --- real processes ---
-WRITER_COUNT, ROWS_PER_WRITER = 16, 40
+WRITER_COUNT = 16
+ROWS_PER_WRITER = 40
 
 
 def expected_value(writer: int, number: int) -> bytes:
-    """The value that a writer's batch of this number must have."""
+    """The value that a writer's batch with this number writes."""
     return xxh3_64_digest(b"%d/%d" % (writer, number)) * (1 + number % 20)
 
 
 async def write_until_killed(folder: Path, background_sync: bool) -> None:
-    """The process that is killed: sixteen writers, each with one batch over three tables under way at a time."""
+    """Run in the process that is killed: 16 writers, each committing one batch over three tables at a time."""
     disk = BackgroundSyncDisk(folder) if background_sync else Disk(folder)
     store = await open_store(disk, silent(), asyncio.get_running_loop().time, Options(segment_bytes=64 * 1024))
 
-    async def one(writer: int) -> None:
+    async def write(writer: int) -> None:
         name = b"%d" % writer
         number = int(store.get("first", name) or b"0")
         os.write(1, b"%d %d\n" % (writer, number))
@@ -298,11 +309,11 @@
             )
             os.write(1, b"%d %d\n" % (writer, number))
 
-    await asyncio.gather(*(one(w) for w in range(WRITER_COUNT)))
+    await asyncio.gather(*(write(w) for w in range(WRITER_COUNT)))
 
 
 async def kill_repeatedly(seed: int, kills: int, folder: Path, on_kill: Callable[[], None] = lambda: None) -> Count:
-    """Kill the writing process at random moments; what it had acknowledged on its pipe is looked for."""
+    """Kill the writing process at random times; the store must have what it acknowledged on its pipe."""
     rng, count = random.Random(seed), Count()
     acknowledged = dict.fromkeys(range(WRITER_COUNT), 0)
     for kill in range(kills):
@@ -317,21 +328,21 @@
         assert process.stdout is not None
         lines, max_lines = 0, rng.choice([rng.randint(0, 40), rng.randint(100, 2000)])
         while lines < max_lines and (line := await process.stdout.readline()):
-            who, _, last = line.partition(b" ")
-            acknowledged[int(who)], lines = int(last), lines + 1
+            writer_number, _, last = line.partition(b" ")
+            acknowledged[int(writer_number)], lines = int(last), lines + 1
         process.kill()
         for line in (await process.stdout.read()).splitlines(keepends=True):
-            if line.endswith(b"\n"):  # acknowledged before the end came
-                who, _, last = line.partition(b" ")
-                acknowledged[int(who)] = int(last)
+            if line.endswith(b"\n"):  # a complete line: acknowledged before the kill
+                writer_number, _, last = line.partition(b" ")
+                acknowledged[int(writer_number)] = int(last)
         await process.wait()
         count.kills += 1
         on_kill()
         try:
             store = await open_store(Disk(folder), silent(), asyncio.get_running_loop().time)
-        except StoreCorrupted as damage:
+        except StoreCorrupted as error:
             count.lost += 1
-            count.notes.append(str(damage))
+            count.notes.append(str(error))
             return count
         for writer, number in acknowledged.items():
             name = b"%d" % writer
