--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -1,7 +1,7 @@
-"""What every keeper of a node's promises must do, written once: disk, disk beside the loop, simulated disk, memory.
+"""Contract of the storage of a node, for each file layer: disk, disk with a sync subprocess, simulated disk.
 
-A step's writes are there whole once it is said so, in order, also after the process ended then; a removed key stays
-removed; an error is told and nothing after it counts as kept. Broken ones are among them, and must fail.
+The writes of a step are atomic and ordered, and durable once acknowledged, also if the process ends then; a removed
+key stays removed; after a reported error nothing counts as stored. Deliberately broken implementations must fail.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from otterquay.store.files import BackgroundSyncDisk, Disk
 
 
-class Kept:
-    """Steps written through the store on some file layer."""
+class NodeStorage:
+    """Writes the steps of a node through the store on one file layer."""
 
-    def __init__(self, again: Callable[[], Any]) -> None:
-        self.again, self.store = again, None
+    def __init__(self, open_files: Callable[[], Any]) -> None:
+        self.open_files, self.store = open_files, None
 
     async def open(self) -> None:
-        self.files = self.again()
+        self.files = self.open_files()
         self.store = await open_store(self.files, silent(), lambda: 0.0)
 
     async def write(self, out: Out) -> None:
@@ -43,24 +43,24 @@
         )
 
     async def end(self) -> None:
-        """The process ends, nothing more is said to the disk."""
+        """End the process without any further disk operation."""
         assert self.store is not None
         await self.files.close()
 
-    def held(self) -> dict[str, dict[bytes, bytes]]:
+    def read_tables(self) -> dict[str, dict[bytes, bytes]]:
         assert self.store is not None
         return {name: dict(rows) for name, rows in tables(self.store).items() if rows}
 
 
-class Forgets(Kept):
-    """Broken: says done before it is."""
+class DropsWrites(NodeStorage):
+    """Broken: acknowledges writes without making them."""
 
     async def write(self, out: Out) -> None:
         pass
 
 
-class Keeps(Kept):
-    """Broken: never removes."""
+class IgnoresDeletes(NodeStorage):
+    """Broken: never removes a key."""
 
     async def write(self, out: Out) -> None:
         out.writes = [w for w in out.writes if w.value is not None]
@@ -68,24 +68,24 @@
 
 
 def simulated() -> Callable[[], Any]:
-    held = [FaultDisk()]
+    current = [FaultDisk()]
 
-    def again() -> FaultDisk:
-        held[0] = held[0].after_kill()
-        return held[0]
+    def open_files() -> FaultDisk:
+        current[0] = current[0].after_kill()
+        return current[0]
 
-    return again
+    return open_files
 
 
 LAYERS: dict[str, Callable[[Path], Callable[[], Any]]] = {
     "disk": lambda folder: lambda: Disk(folder),
-    "disk beside the loop": lambda folder: lambda: BackgroundSyncDisk(folder),
+    "disk with a sync subprocess": lambda folder: lambda: BackgroundSyncDisk(folder),
     "simulated disk": lambda folder: simulated(),
 }
 
 
-async def a_log_is_there_again(kept: Kept) -> None:
-    await kept.open()
+async def a_log_survives_restarts(storage: NodeStorage) -> None:
+    await storage.open()
     log, state = Log(), []
     for turn in range(60):
         out = Out()
@@ -95,63 +95,63 @@
             log.cut(log.last - 1, b"state%d" % turn, out)
         else:
             log.add(Entry(turn, b"%d" % turn * 50), out)
-        await kept.write(out)
+        await storage.write(out)
         state = [(e.term, e.data) for e in log.entries]
         if turn % 10 == 9:
-            await kept.end()
-            await kept.open()
-            held, again = kept.held(), Log()
-            again.load(held.get(META, {}).get(b"snapshot"), sorted(held.get(LOG, {}).items()))
+            await storage.end()
+            await storage.open()
+            stored, again = storage.read_tables(), Log()
+            again.load(stored.get(META, {}).get(b"snapshot"), sorted(stored.get(LOG, {}).items()))
             assert [(e.term, e.data) for e in again.entries] == state
             assert (again.base, again.base_term, again.state) == (log.base, log.base_term, log.state)
-    await kept.end()
+    await storage.end()
 
 
-async def steps_are_whole_and_removed_is_removed(kept: Kept) -> None:
-    await kept.open()
+async def steps_are_atomic_and_deletes_are_durable(storage: NodeStorage) -> None:
+    await storage.open()
     for i in range(20):
         out = Out()
         for table in TABLES:
             out.write(table, b"k", b"%d" % i)
             out.write(table, b"gone%d" % i, b"x")
             out.write(table, b"gone%d" % (i - 1), None)
-        await kept.write(out)
-    await kept.end()
-    await kept.open()
-    assert kept.held() == {table: {b"k": b"19", b"gone19": b"x"} for table in TABLES}
-    await kept.end()
+        await storage.write(out)
+    await storage.end()
+    await storage.open()
+    assert storage.read_tables() == {table: {b"k": b"19", b"gone19": b"x"} for table in TABLES}
+    await storage.end()
 
 
-CONTRACT = [a_log_is_there_again, steps_are_whole_and_removed_is_removed]
+CONTRACT = [a_log_survives_restarts, steps_are_atomic_and_deletes_are_durable]
 
 
 @pytest.mark.parametrize("clause", CONTRACT, ids=lambda c: c.__name__)
 @pytest.mark.parametrize("layer", LAYERS)
-def test_every_keeper_keeps_the_contract(layer: str, clause: Any, tmp_path: Path) -> None:
-    asyncio.run(clause(Kept(LAYERS[layer](tmp_path / "s"))))
+def test_every_file_layer_meets_the_contract(layer: str, clause: Any, tmp_path: Path) -> None:
+    asyncio.run(clause(NodeStorage(LAYERS[layer](tmp_path / "s"))))
 
 
 @pytest.mark.parametrize(
     ("kind", "clause"),
     [
-        (Forgets, a_log_is_there_again),
-        (Forgets, steps_are_whole_and_removed_is_removed),
-        (Keeps, steps_are_whole_and_removed_is_removed),
+        (DropsWrites, a_log_survives_restarts),
+        (DropsWrites, steps_are_atomic_and_deletes_are_durable),
+        (IgnoresDeletes, steps_are_atomic_and_deletes_are_durable),
     ],
 )
-def test_a_broken_keeper_does_not(kind: type[Kept], clause: Any, tmp_path: Path) -> None:
+def test_a_broken_implementation_fails_the_contract(kind: type[NodeStorage], clause: Any, tmp_path: Path) -> None:
     with pytest.raises(AssertionError):
         asyncio.run(clause(kind(LAYERS["disk"](tmp_path / "s"))))
 
 
 @pytest.mark.parametrize("operation", ["append", "sync"])
-def test_a_disk_that_fails_is_told_and_nothing_counts_after_it(operation: str) -> None:
+def test_a_disk_error_is_reported_and_later_writes_fail(operation: str) -> None:
     async def work() -> None:
         disk = FaultDisk()
         store = await open_store(disk, silent(), lambda: 0.0)
 
-        def fail(what: str, name: str) -> None:
-            if what == operation:
+        def fail(called: str, name: str) -> None:
+            if called == operation:
                 raise OSError(28, "No space left on device")
 
         disk.fail = fail
@@ -162,7 +162,7 @@
     asyncio.run(work())
 
 
-HUNG_UP = """
+SIGNALLED_PROCESS = """
 import asyncio, os, signal, sys, uvloop
 from pathlib import Path
 from otterquay.store.files import BackgroundSyncDisk
@@ -183,10 +183,13 @@
 """
 
 
-def test_what_a_terminal_sends_to_a_group_does_not_end_the_process_that_syncs(tmp_path: Path) -> None:
-    """An agent under nohup outlived its terminal, and its helper did not: uvloop starts it with signals open."""
+def test_signals_to_the_process_group_do_not_end_the_sync_subprocess(tmp_path: Path) -> None:
+    """An agent under nohup outlived its terminal, but its sync subprocess did not.
+
+    uvloop starts subprocesses with default signal handlers, so the hangup signal ended it.
+    """
     done = subprocess.run(
-        [sys.executable, "-c", HUNG_UP, str(tmp_path)],
+        [sys.executable, "-c", SIGNALLED_PROCESS, str(tmp_path)],
         capture_output=True,
         text=True,
         check=False,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,7 +1,7 @@
-"""The store under cuts, flips, lost and torn writes, and failing disks: what was acknowledged is there.
+"""Durability of the store under truncation, bit flips, lost and torn writes, and failing disks.
 
-The trials are the laboratory's (`otterquay.lab.torture`); here they run small, and each promise is taken out once
-to see that they notice.
+The torture trials are those of `otterquay.lab.torture` with small numbers. Each guarantee is also broken once on
+purpose, to show that the trials detect it.
 """
 
 from __future__ import annotations
@@ -44,8 +44,8 @@
     return {table_key: value for table_key, (value, _) in tt.read_all(store).items()}
 
 
-# --- what lasts ---
-def test_what_is_written_is_there_after_opening_anew(tmp_path: Path) -> None:
+# --- durability ---
+def test_committed_data_survives_reopening(tmp_path: Path) -> None:
     async def run() -> None:
         rng, state, clock = random.Random(1), tt.State(), tt.Clock()
         for incarnation in range(5):
@@ -77,18 +77,18 @@
 REFERENCE = tt.Reference(3)
 
 
-def test_cut_at_every_byte_of_every_file() -> None:
+def test_truncation_at_every_byte_of_every_file() -> None:
     assert {n.partition(".")[2] for n in REFERENCE.files} == {"", "seg", "hint"} and len(REFERENCE.files) >= 7
     count = tt.truncate_everywhere(REFERENCE)
     assert count.cuts == sum(map(len, REFERENCE.files.values())) and not count.failure_count(), count.notes[:5]
 
 
-def test_a_flip_at_every_byte_is_told_or_harmless() -> None:
+def test_a_bit_flip_at_every_byte_is_reported_or_harmless() -> None:
     count = tt.flip_everywhere(REFERENCE)
     assert count.flips > 3000 and not count.failure_count(), count.notes[:5]
 
 
-def test_a_file_that_is_gone_is_missed_or_not_needed() -> None:
+def test_a_missing_file_is_reported_unless_it_is_a_hint() -> None:
     for name in REFERENCE.files:
         store, found = REFERENCE.open_and_read({n: d for n, d in REFERENCE.files.items() if n != name})
         if name.endswith(".hint"):
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_crash_at_every_step_leaves_all_that_was_acknowledged(seed: int) -> None:
+def test_a_crash_at_every_step_keeps_all_acknowledged_batches(seed: int) -> None:
     count = tt.crash_everywhere(seed)
     assert count.crash_states > 1000 and not count.failure_count(), count.notes[:5]
 
@@ -108,17 +108,17 @@
     assert count.kills == 4 and not count.failure_count(), count
 
 
-# --- each promise taken out once ---
+# --- each guarantee broken on purpose ---
 async def no_sync(self: FaultDisk, name: str) -> None:
     self._begin_operation("sync", name)
 
 
-async def no_folder(self: FaultDisk) -> None:
+async def no_folder_sync(self: FaultDisk) -> None:
     self._begin_operation("sync_folder", "")
 
 
 async def early_close(self: Store) -> None:
-    """Says that the next segment must be there before it lasts."""
+    """Write the CLOSE before the next segment, which it requires, is durable."""
     await self.append(fm.CLOSE, b"")
     number = self.active_segment + 1
     self.files.create(en.segment_name(number))
@@ -129,7 +129,7 @@
     self.segments[number] = en.Segment(fm.HEADER_SIZE, self.sequence + 1)
 
 
-async def removed_before_trim(self: Store) -> None:
+async def remove_before_trim(self: Store) -> None:
     removable, self._removable_segments = self._removable_segments, []
     for number in removable:
         await self.remove_segment(number)
@@ -139,51 +139,51 @@
 ORIGINAL_NEXT_MOVES = Store._next_moves
 
 
-def moves_nothing(self: Store) -> list[Any]:
+def move_nothing(self: Store) -> list[Any]:
     ORIGINAL_NEXT_MOVES(self)
     return []
 
 
-BEHIND: dict[int, int] = {}
+SYNCED_WRITES: dict[int, int] = {}  # by id of the file: writes that the next sync makes durable
 
 
 async def late_sync(self: FaultDisk, name: str) -> None:
-    """Says done, and does it with the next one: what is acknowledged is not on the disk yet."""
+    """Acknowledge a sync at once and make its writes durable with the next one only."""
     self._begin_operation("sync", name)
     file = self._file(name)
-    ready = BEHIND.get(id(file), 0)
+    ready = SYNCED_WRITES.get(id(file), 0)
     for offset, what in file.dirty[:ready]:
         if what is None:
             del file.disk[offset:]
         else:
             file.disk[offset : offset + len(what)] = what
     file.dirty = file.dirty[ready:]
-    BEHIND[id(file)] = len(file.dirty)
+    SYNCED_WRITES[id(file)] = len(file.dirty)
 
 
-MUTANTS: dict[str, tuple[Any, str, Any, str]] = {  # where, what, in its place, what the trial then says
+MUTANTS: dict[str, tuple[Any, str, Any, str]] = {  # class, method, replacement, field of Count that must grow
     "no sync": (FaultDisk, "sync", no_sync, "lost"),
-    "no folder sync": (FaultDisk, "sync_folder", no_folder, "lost"),
+    "no folder sync": (FaultDisk, "sync_folder", no_folder_sync, "lost"),
     "acknowledged before the sync": (FaultDisk, "sync", late_sync, "lost"),
-    "closed before the next segment lasts": (Store, "_roll_segment", early_close, "lost"),
-    "removed before its end is told": (Store, "_remove_compacted_segments", removed_before_trim, "lost"),
-    "compaction that moves nothing": (Store, "_next_moves", moves_nothing, "lost"),
+    "segment closed before the next one is durable": (Store, "_roll_segment", early_close, "lost"),
+    "segments removed before the TRIM": (Store, "_remove_compacted_segments", remove_before_trim, "lost"),
+    "compaction that moves nothing": (Store, "_next_moves", move_nothing, "lost"),
 }
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_each_promise_taken_out_is_noticed(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    where, name, instead, said = MUTANTS[mutant]
-    monkeypatch.setattr(where, name, instead)
+def test_each_removed_guarantee_is_detected(mutant: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    target, name, replacement, violation = MUTANTS[mutant]
+    monkeypatch.setattr(target, name, replacement)
     found = 0
     for seed in range(3):
         count = tt.crash_everywhere(seed, steps=20, variants=3)
-        found += getattr(count, said)
+        found += getattr(count, violation)
     assert found > 0
 
 
-class Untagged:
-    """Takes the place of xxhash: every tag is the same."""
+class ConstantHasher:
+    """Replaces the hasher of xxhash: every checksum is the same."""
 
     def __init__(self, *_: object) -> None: ...
 
@@ -193,9 +193,9 @@
         return 7
 
 
-def test_without_tags_flips_show(monkeypatch: pytest.MonkeyPatch) -> None:
-    class Hashes:
-        xxh3_64 = Untagged
+def test_without_checksums_bit_flips_go_undetected(monkeypatch: pytest.MonkeyPatch) -> None:
+    class ConstantHashes:
+        xxh3_64 = ConstantHasher
 
         @staticmethod
         def xxh3_64_intdigest(_: bytes) -> int:
@@ -209,7 +209,7 @@
         def xxh32_digest(_: bytes, __: int = 0) -> bytes:
             return b"\0\0\0\7"
 
-    monkeypatch.setattr(fm, "xxhash", Hashes)
+    monkeypatch.setattr(fm, "xxhash", ConstantHashes)
     reference = tt.Reference(3)
     last = reference.last
     broken = 0
@@ -224,8 +224,8 @@
     assert broken > 10
 
 
-def test_a_sync_that_failed_is_not_trusted_when_opened_anew() -> None:
-    """Pages of a failed sync look clean and are not on the disk: opening writes the newest record again."""
+def test_reopening_after_a_failed_sync_rewrites_the_newest_record() -> None:
+    """After a failed sync the kernel takes pages for clean that are not on disk: opening must rewrite them."""
 
     async def run(rewrites: bool) -> bool:
         disk = FaultDisk()
@@ -260,7 +260,7 @@
 # --- failing disks ---
 @pytest.mark.parametrize("operation", ["append", "sync", "create", "sync_folder", "remove"])
 @pytest.mark.parametrize("nth", [0, 1, 2])
-def test_after_an_error_nothing_more_is_taken_and_reading_goes_on(operation: str, nth: int) -> None:
+def test_after_a_disk_error_writes_fail_and_reads_go_on(operation: str, nth: int) -> None:
     async def run() -> None:
         disk, rng, state = FaultDisk(), random.Random(nth), tt.State()
         store = await open_test_store(disk)
@@ -270,31 +270,31 @@
             state = tt.apply_changes(state, changes, store.time)
         seen = 0
 
-        def full(what: str, name: str) -> None:
+        def fail(called: str, name: str) -> None:
             nonlocal seen
-            if what == operation and name.endswith((".seg", "")) and not name.endswith(".hint"):
+            if called == operation and name.endswith((".seg", "")) and not name.endswith(".hint"):
                 seen += 1
                 if seen > nth:
                     raise OSError(28, "No space left on device")
 
-        disk.fail = full
-        maybe = state
+        disk.fail = fail
+        possible_state = state
         with pytest.raises(StoreFailed, match="No space left"):
             for _ in range(60):
                 changes = tt.random_batch(rng)
-                maybe = tt.apply_changes(state, changes, store.time)
+                possible_state = tt.apply_changes(state, changes, store.time)
                 await store.commit(changes)
-                state = maybe
+                state = possible_state
                 await asyncio.sleep(0)
         disk.fail = lambda *_: None
         with pytest.raises(StoreFailed, match="No space left"):
             await store.commit([Put("t", b"d", b"4")])
         with pytest.raises(StoreFailed, match="No space left"):
             await store.compact()
-        assert tt.read_all(store) == tt.unexpired(state, store.now()), "what was synced still reads"
+        assert tt.read_all(store) == tt.unexpired(state, store.now()), "synced data stays readable"
         await store.close()
         again = await open_test_store(disk.after_kill())
-        assert tt.read_all(again) in (tt.unexpired(state, again.time), tt.unexpired(maybe, again.time))
+        assert tt.read_all(again) in (tt.unexpired(state, again.time), tt.unexpired(possible_state, again.time))
         await again.commit([Put("t", b"d", b"4")])
 
     asyncio.run(run())
@@ -318,7 +318,7 @@
     asyncio.run(run())
 
 
-def test_a_value_that_cannot_be_read_is_told_and_others_are_not_held_up() -> None:
+def test_an_unreadable_value_is_reported_and_others_stay_readable() -> None:
     async def run() -> None:
         disk = FaultDisk()
         store = await open_test_store(disk)
@@ -347,7 +347,7 @@
     asyncio.run(run())
 
 
-def test_the_process_that_syncs_gone_stops_the_store(tmp_path: Path) -> None:
+def test_the_end_of_the_sync_subprocess_stops_the_store(tmp_path: Path) -> None:
     async def run() -> None:
         disk = BackgroundSyncDisk(tmp_path)
         store = await open_test_store(disk)
@@ -364,7 +364,7 @@
 
 
 # --- time to live ---
-def test_lives_end_by_a_clock_that_may_be_set_back_and_never_begin_again() -> None:
+def test_expired_entries_stay_expired_when_the_clock_is_set_back() -> None:
     async def run() -> None:
         disk, clock = FaultDisk(), tt.Clock(5000.0)
         store = await open_test_store(disk, clock=clock)
@@ -373,7 +373,7 @@
         )
         clock.now += 9.9
         assert store.get("t", b"short") == b"1"
-        clock.now = 0.0  # set back: time stands still, then goes on from there
+        clock.now = 0.0  # set back: store time stays as it is, then advances with the clock again
         assert store.get("t", b"short") == b"1"
         clock.now = 0.2
         assert store.get("t", b"short") is None and store.get("t", b"long") == b"2"
@@ -383,7 +383,7 @@
             assert view.get("t", b"long") == b"2" and [k for k, _ in view.scan("t")] == [b"ever", b"long"]
         await store.commit([Put("t", b"more", b"4", 50.0)])
         await store.close()
-        clock.now = 3.0  # a start of the machine, the clock from nothing
+        clock.now = 3.0  # a reboot: the clock starts at zero
         again = await open_test_store(disk.after_kill(), clock=clock)
         assert [k for k, _ in again.scan("t")] == [b"ever", b"more"]
         clock.now += 49.9
@@ -399,7 +399,7 @@
 
 
 # --- limits, views, compaction ---
-def test_limits_are_refused_before_anything_is_written_and_others_go_on() -> None:
+def test_oversized_changes_are_rejected_before_anything_is_written() -> None:
     async def run() -> None:
         store = await open_test_store(FaultDisk(), Options())
         for bad in (
@@ -409,16 +409,16 @@
             Delete("t", b"k" * 65_536),
             Put("t", b"k", b"v" * (fm.MAX_VALUE_BYTES + 1)),
         ):
-            refused, taken = await asyncio.gather(
+            rejected, committed = await asyncio.gather(
                 store.commit([Put("t", b"half", b"1"), bad]),
                 store.commit([Put("t", b"other", b"1")]),
                 return_exceptions=True,
             )
-            assert isinstance(refused, ValueError) and taken is None
+            assert isinstance(rejected, ValueError) and committed is None
         with pytest.raises(ValueError, match="a batch of about"):
             await store.commit([Put("t", b"%d" % i, b"v" * fm.MAX_VALUE_BYTES) for i in range(3)])
-        most = [Put("t" * 255, b"k" * 65_535, b"v" * fm.MAX_VALUE_BYTES), Put("t", b"", b"")]
-        await store.commit(most)
+        largest = [Put("t" * 255, b"k" * 65_535, b"v" * fm.MAX_VALUE_BYTES), Put("t", b"", b"")]
+        await store.commit(largest)
         again = await open_test_store(store.files.after_kill(), Options())  # type: ignore[attr-defined]
         assert again.get("t" * 255, b"k" * 65_535) == b"v" * fm.MAX_VALUE_BYTES and again.get("t", b"") == b""
         assert again.get("t", b"half") is None and again.get("t", b"other") == b"1"
@@ -426,7 +426,7 @@
     asyncio.run(run())
 
 
-def test_a_view_shows_what_held_while_writers_and_compaction_go_on() -> None:
+def test_a_view_keeps_its_snapshot_during_writes_and_compaction() -> None:
     async def run() -> None:
         disk, rng, state = FaultDisk(), random.Random(4), tt.State()
         store = await open_test_store(disk)
@@ -439,9 +439,9 @@
                 views.append((store.view(), state))
             if step % 50 == 0:
                 await store.compact()
-            for view, was in views[-4:]:
+            for view, expected in views[-4:]:
                 shown = {(t, k): v for t in ("votes", "ledger") for k, v in view.scan(t)}
-                assert shown == {table_key: value for table_key, (value, _) in was.items()}
+                assert shown == {table_key: value for table_key, (value, _) in expected.items()}
         pinned = len([n for n in disk.files if n.endswith(".seg")])
         for view, _ in views:
             view.close()
@@ -453,24 +453,24 @@
     asyncio.run(run())
 
 
-def test_a_scan_meets_chunks_of_keys_that_come_and_go() -> None:
+def test_a_scan_while_keys_are_added_and_removed() -> None:
     index, rng = Index(), random.Random(2)
     for _ in range(2000):
         index.put("t", b"%05d" % rng.randrange(100_000), 7)
-    want = sorted(index.tables["t"].places)
+    expected = sorted(index.tables["t"].places)
     undo = en.Undo(0)
     index.open_views.append(undo)
-    got = []
+    found = []
     for key in index.keys("t", b"", None, undo):
         if index.find("t", key, 0, undo) is not None:
-            got.append(key)
-        index.remove("t", rng.choice(want))
+            found.append(key)
+        index.remove("t", rng.choice(expected))
         index.put("t", b"%05d" % rng.randrange(100_000), 9)
-    assert got == want
+    assert found == expected
 
 
 @pytest.mark.parametrize("keys", [300, 20_000])
-def test_space_stays_bounded_and_writers_are_not_outrun(keys: int) -> None:
+def test_compaction_bounds_space_under_continuous_writes(keys: int) -> None:
     async def run() -> None:
         disk, rng = FaultDisk(), random.Random(1)
         options = Options(segment_bytes=64 * 1024)
@@ -489,7 +489,7 @@
     asyncio.run(run())
 
 
-def test_hints_load_what_reading_the_segments_gives() -> None:
+def test_hints_give_the_same_index_as_reading_the_segments() -> None:
     async def run() -> None:
         disk, rng = FaultDisk(), random.Random(6)
         store = await open_test_store(disk, clock=tt.Clock())
@@ -507,12 +507,12 @@
 
 
 class Machine(RuleBasedStateMachine):
-    """Any order of batches, clocks, views, compactions, kills, crashes and failing syncs, beside a model."""
+    """Compares a store with a model over batches, clock changes, views, compactions, restarts and faults."""
 
     def __init__(self) -> None:
         super().__init__()
         self.loop = asyncio.new_event_loop()
-        self.disk, self.clock, self.state, self.maybe = FaultDisk(), tt.Clock(), tt.State(), tt.State()
+        self.disk, self.clock, self.state, self.possible_state = FaultDisk(), tt.Clock(), tt.State(), tt.State()
         self.rng = random.Random(0)
         self.views: list[tuple[en.View, dict[tuple[str, bytes], bytes]]] = []
         self.store = self._open()
@@ -543,24 +543,24 @@
         self.loop.run_until_complete(self.store.compact())
 
     @rule()
-    def look_from_now_on(self) -> None:
+    def open_view(self) -> None:
         if len(self.views) < 3:
             self.views.append((self.store.view(), values(self.store)))
 
     @rule(seed=st.integers(0, 2**32))
     def power_fails(self, seed: int) -> None:
-        self._note_time()
+        self._make_time_durable()
         self.disk = self.disk.after_power_loss(random.Random(seed))
         self.store = self._open()
 
     @rule()
     def process_ends(self) -> None:
-        self._note_time()
+        self._make_time_durable()
         self.disk = self.disk.after_kill()
         self.store = self._open()
 
-    def _note_time(self) -> None:
-        """Store time lasts as of the newest record; the model would otherwise know more than the disk."""
+    def _make_time_durable(self) -> None:
+        """Commit a record, which makes the store time durable, so that the store is not behind the model."""
         self.loop.run_until_complete(self.store.commit([Delete("votes", b"never")]))
 
     @rule(seed=st.integers(0, 2**32))
@@ -569,10 +569,10 @@
             if operation == "sync":
                 raise OSError(5, "Input/output error")
 
-        self._note_time()
+        self._make_time_durable()
         changes = tt.random_batch(random.Random(seed))
         self.store.now()
-        self.maybe = tt.apply_changes(self.state, changes, self.store.time)
+        self.possible_state = tt.apply_changes(self.state, changes, self.store.time)
         self.disk.fail = fail_sync
         with pytest.raises(StoreFailed):
             self.loop.run_until_complete(self.store.commit(changes))
@@ -580,15 +580,18 @@
         self.disk = self.disk.after_kill() if seed % 2 else self.disk.after_power_loss(random.Random(seed))
         self.store = self._open()
         found = tt.read_all(self.store)
-        assert found in (tt.unexpired(self.state, self.store.time), tt.unexpired(self.maybe, self.store.time))
+        assert found in (
+            tt.unexpired(self.state, self.store.time),
+            tt.unexpired(self.possible_state, self.store.time),
+        )
         if found != tt.unexpired(self.state, self.store.time):
-            self.state = self.maybe
+            self.state = self.possible_state
 
     @invariant()
-    def all_shows(self) -> None:
+    def reads_match_the_model(self) -> None:
         assert tt.read_all(self.store) == tt.unexpired(self.state, self.store.now())
-        for view, was in self.views:
-            assert {(t, k): v for t in ("votes", "ledger") for k, v in view.scan(t)} == was
+        for view, expected in self.views:
+            assert {(t, k): v for t in ("votes", "ledger") for k, v in view.scan(t)} == expected
 
     def teardown(self) -> None:
         self.loop.run_until_complete(self.store.close())
@@ -600,7 +603,7 @@
 
 
 # --- other processes ---
-def test_a_second_writer_is_refused_and_a_killed_one_leaves_the_lock(tmp_path: Path) -> None:
+def test_a_second_writer_is_rejected_and_a_killed_one_releases_the_lock(tmp_path: Path) -> None:
     code = (
         "import asyncio, os, sys; from pathlib import Path\n"
         "from otterquay.store import StoreFailed, open_store\n"
@@ -622,7 +625,7 @@
     asyncio.run(run())
 
 
-def test_looking_in_and_backup_beside_a_writer_at_work(tmp_path: Path) -> None:
+def test_read_only_opening_and_backup_during_writes(tmp_path: Path) -> None:
     async def run() -> None:
         store = await open_test_store(Disk(tmp_path / "a"))
         stop, written = False, 0
@@ -639,19 +642,21 @@
         task = asyncio.create_task(write())
         for copy in range(15):
             await asyncio.sleep(0.01)
-            sure = int(store.get("n", b"n") or b"0")
-            looked = await open_store(Disk(tmp_path / "a"), silent(), lambda: 0.0, read_only=True)
-            assert looked.get("n", b"n") == looked.get("m", b"m") and int(looked.get("n", b"n") or b"0") >= sure
+            committed = int(store.get("n", b"n") or b"0")
+            reader = await open_store(Disk(tmp_path / "a"), silent(), lambda: 0.0, read_only=True)
+            assert (
+                reader.get("n", b"n") == reader.get("m", b"m") and int(reader.get("n", b"n") or b"0") >= committed
+            )
             with pytest.raises(StoreFailed, match="read-only"):
-                await looked.commit([Put("a", b"b", b"c")])
+                await reader.commit([Put("a", b"b", b"c")])
             await rc.backup(Disk(tmp_path / "a"), Disk(tmp_path / f"copy{copy}"))
             restored = await open_test_store(Disk(tmp_path / f"copy{copy}"))
             assert restored.get("n", b"n") == restored.get("m", b"m")
-            assert int(restored.get("n", b"n") or b"0") >= sure
+            assert int(restored.get("n", b"n") or b"0") >= committed
             await restored.close()
         stop = True
         await task
-        assert store.oldest > 2, "compaction removed segments meanwhile"
+        assert store.oldest > 2, "compaction must remove segments during the test"
         await store.close()
         with pytest.raises(FileExistsError):
             await rc.backup(Disk(tmp_path / "a"), Disk(tmp_path / "copy0"))
@@ -669,7 +674,7 @@
 
 
 def old_store() -> dict[str, bytes]:
-    """A folder of version 1: a base up to segment 1, and segments 2 and 3 with a torn end."""
+    """A folder of version 1: a base up to segment 1, and segments 2 and 3, the last with a torn tail."""
     base = f1.write_header(f1.BASE, 1) + old_record(1, f1.PIECE, 4, 4, [("t", b"a", b"1"), ("u", b"b", b"2")])
     base += old_record(1, f1.END, 4, 4, [])
     two = f1.write_header(f1.LOG, 2) + old_record(2, f1.BATCH, 5, 4, [("t", b"a", None), ("t", b"c", b"3")])
@@ -678,27 +683,27 @@
     return {f"{1:016x}.base": base, f"{2:016x}.log": two, f"{3:016x}.log": three}
 
 
-OLD_HELD = {("t", b"c"): b"3", ("u", b"b"): b"2", ("u", b"d"): b"x" * 100}
+OLD_VALUES = {("t", b"c"): b"3", ("u", b"b"): b"2", ("u", b"d"): b"x" * 100}
 
 
-def test_version_1_is_upgraded_whole_whenever_the_power_fails() -> None:
+def test_an_upgrade_of_version_1_survives_power_loss_at_every_step() -> None:
     count, rng = 0, random.Random(3)
 
     def crash_at(disk: FaultDisk) -> None:
         nonlocal count
         for _ in range(6):
             left = disk.after_power_loss(rng)
-            assert values(tt.run_sync(open_test_store(left))) == OLD_HELD
+            assert values(tt.run_sync(open_test_store(left))) == OLD_VALUES
             count += 1
 
     disk = FaultDisk(old_store())
     disk.before_change = lambda: crash_at(disk)
     store = tt.run_sync(open_test_store(disk))
-    assert values(store) == OLD_HELD and count > 60
+    assert values(store) == OLD_VALUES and count > 60
     assert not [n for n in disk.files if n.endswith((".log", ".base"))]
 
 
-def test_a_damaged_version_1_and_a_later_version_are_refused_and_left_as_they_are() -> None:
+def test_a_damaged_version_1_and_a_later_version_are_rejected_unchanged() -> None:
     files = old_store()
     name = f"{2:016x}.log"
     files[name] = files[name][:50] + b"\xff" + files[name][51:]
@@ -714,7 +719,7 @@
             tt.run_sync(open_test_store(FaultDisk({**later, kind: bytes(data)})))
 
 
-def test_salvage_keeps_what_is_whole_and_tells_what_is_not() -> None:
+def test_salvage_keeps_intact_records_and_reports_damage() -> None:
     files, clock = dict(REFERENCE.files), REFERENCE.clock
     name = sorted(n for n in files if n.endswith(".seg"))[1]
     records = list(fm.records(files[name], int(name[:16], 16)))
@@ -723,20 +728,20 @@
     data[broken.start + fm.RECORD_HEADER_SIZE + 3] ^= 8
     files[name] = bytes(data)
     touched = {(e.table, e.key) for e in fm.entries(broken, int(name[:16], 16))}
-    damaged, to = FaultDisk(files), FaultDisk()
-    report = asyncio.run(rc.salvage(damaged, to, silent(), clock))
+    damaged, destination = FaultDisk(files), FaultDisk()
+    report = asyncio.run(rc.salvage(damaged, destination, silent(), clock))
     assert report.damage == [(name, broken.start, "record checksum mismatch")]
     assert report.missing == [(broken.sequence, broken.sequence)]
-    store = tt.run_sync(open_test_store(to, clock=clock))
-    want = REFERENCE.expected(max(REFERENCE.states), store)
+    store = tt.run_sync(open_test_store(destination, clock=clock))
+    expected = REFERENCE.expected(max(REFERENCE.states), store)
     found = tt.read_all(store)
-    assert all(found.get(table_key) == want.get(table_key) for table_key in {*found, *want} - touched)
+    assert all(found.get(table_key) == expected.get(table_key) for table_key in {*found, *expected} - touched)
     assert damaged.contents() == files
     with pytest.raises(StoreFailed, match="not empty"):
-        asyncio.run(rc.salvage(FaultDisk(REFERENCE.files), to.after_kill(), silent(), clock))
+        asyncio.run(rc.salvage(FaultDisk(REFERENCE.files), destination.after_kill(), silent(), clock))
 
 
-def test_the_commands_tell_what_is_there_copy_and_salvage(tmp_path: Path) -> None:
+def test_the_store_commands(tmp_path: Path) -> None:
     folder = tmp_path / "s"
 
     async def run() -> None:
@@ -745,8 +750,8 @@
             await store.commit([Put("t", b"\x01", b"\x02" * 50), Put("t", b"\x07%d" % i, b"\x02", 1e6)])
         await store.close()
 
-    def call(*words: str) -> tuple[int, str]:
-        found = CliRunner().invoke(main, ["store", words[0], str(folder), *words[1:]])
+    def call(*arguments: str) -> tuple[int, str]:
+        found = CliRunner().invoke(main, ["store", arguments[0], str(folder), *arguments[1:]])
         return found.exit_code, found.output
 
     asyncio.run(run())
@@ -774,13 +779,13 @@
     assert code == 1 and "not empty" in text
 
 
-def family(seed: int) -> None:
-    """Views, compactions, failing syncs, restarts and power cuts in a drawn order, as the machine found them."""
+def run_random_faults(seed: int) -> None:
+    """Run views, compactions, failed syncs, restarts and power losses in a random order."""
     rng, machine = random.Random(seed), Machine()
     for _ in range(rng.randint(4, 12)):
         match rng.choice(("look", "compact", "compact", "commit", "sync", "ends", "power")):
             case "look":
-                machine.look_from_now_on()
+                machine.open_view()
             case "compact":
                 machine.compact()
             case "commit":
@@ -791,30 +796,30 @@
                 machine.process_ends()
             case "power":
                 machine.power_fails(seed=rng.getrandbits(32))
-        machine.all_shows()
+        machine.reads_match_the_model()
     machine.teardown()
 
 
 def test_a_failed_sync_after_compaction_and_a_power_cut() -> None:
-    """A hint said that the oldest segment had gone before a TRIM did, while a view still held that segment."""
+    """A hint declared the oldest segment removed before a TRIM did, while a view still kept that segment."""
     machine = Machine()
-    machine.look_from_now_on()
+    machine.open_view()
     machine.compact()
     machine.compact()
     machine.sync_fails(seed=1)
     machine.power_fails(seed=0)
-    machine.all_shows()
+    machine.reads_match_the_model()
     machine.teardown()
 
 
 @pytest.mark.parametrize("first", range(0, 200, 50))
 def test_failed_syncs_compactions_and_power_cuts_in_any_order(first: int) -> None:
     for seed in range(first, first + 50):
-        family(seed)
+        run_random_faults(seed)
 
 
-def test_a_hint_that_runs_ahead_of_its_trim_is_not_followed_before_the_log_says_so() -> None:
-    """As an earlier version may have left it: opening writes the TRIM before it takes segments away."""
+def test_a_hint_ahead_of_the_log_is_followed_only_after_a_trim_is_written() -> None:
+    """Earlier versions may have left such hints: opening must write the TRIM before it removes segments."""
 
     async def run(ahead: bool) -> FaultDisk:
         disk = FaultDisk()
