--- a/otterquay/store/format1.py
+++ b/otterquay/store/format1.py
@@ -1,7 +1,7 @@
 """File format version 1, read for upgrades only: log segments with one record per batch, and base snapshots.
 
-A base replaced all segments up to its number. Each batch held the last sequence number that was synced when it was
-written, which distinguishes a torn group at the end from damage to synced records.
+A base replaced all segments up to its number. Each batch stored the last sequence number that was synced when it
+was written, which distinguishes a torn group at the end from damage to synced records.
 """
 
 from __future__ import annotations
@@ -66,8 +66,8 @@
         raise FormatError(0, "not a store file")
     if version > VERSION:
         raise FormatError(0, f"written by version {version}, this one reads up to {VERSION}")
-    whole = data[:HEADER_SIZE] == write_header(kind, number)
-    if not whole or (found, named, reserved) != (kind, number, 0) or not checksum:
+    intact = data[:HEADER_SIZE] == write_header(kind, number)
+    if not intact or (found, named, reserved) != (kind, number, 0) or not checksum:
         raise FormatError(0, "file header is damaged or belongs to another file")
 
 
@@ -119,7 +119,7 @@
     """All keys and values in a folder of this version; FormatError with the file's name before the reason."""
     bases, logs = numbered(names, ".base"), numbered(names, ".log")
     base_number, sequence, ended = bases[-1] if bases else 0, 0, not bases
-    held: dict[tuple[str, bytes], bytes] = {}
+    values: dict[tuple[str, bytes], bytes] = {}
     files = [(BASE, base_number, f"{base_number:016x}.base")] if bases else []
     logs = [n for n in logs if n > base_number]
     files += [(LOG, n, f"{n:016x}.log") for n in logs]
@@ -134,9 +134,9 @@
                     raise FormatError(record.start, f"sequence {record.sequence} after {sequence}")
                 for table, key, value in record.changes:
                     if value is None:
-                        held.pop((table, key), None)
+                        values.pop((table, key), None)
                     else:
-                        held[table, key] = value
+                        values[table, key] = value
                 sequence, good, ended = record.sequence, record.end, ended or record.kind == END
         except FormatError as error:
             torn = (
@@ -151,4 +151,4 @@
                 raise FormatError(error.offset, f"{name}: {error.reason}") from None
         if not ended:
             raise FormatError(len(data), f"{name}: base has no END record")
-    return held
+    return values
--- a/otterquay/store/initialization.py
+++ b/otterquay/store/initialization.py
@@ -66,7 +66,7 @@
     """Write all keys of a version 1 store into the first segment."""
     files, name = store.files, segment_name(1)
     try:
-        held = format1.read_all(names, files.read)
+        values = format1.read_all(names, files.read)
     except format1.FormatError as error:
         where, _, reason = error.reason.partition(": ")
         raise StoreCorrupted(where, error.offset, f"version 1: {reason}") from None
@@ -74,7 +74,7 @@
     files.append(name, fm.write_header(fm.SEGMENT, 1, 1))
     content: list[bytes] = []
     size = sequence = 0
-    items = list(held.items())
+    items = list(values.items())
     for i, ((table, key), value) in enumerate(items):
         content.append(fm.write_entry(1, table.encode(), key, value))
         size += len(content[-1])
@@ -84,7 +84,7 @@
             content, size = [], 0
     await files.sync(name)
     await files.sync_folder()
-    store.log.warning("store_upgraded", version=fm.VERSION, keys=len(held))
+    store.log.warning("store_upgraded", version=fm.VERSION, keys=len(values))
 
 
 async def _remove_old(files: Files, names: list[str]) -> None:
