--- a/otterquay/store/engine.py
+++ b/otterquay/store/engine.py
@@ -54,11 +54,11 @@
         self.active_segment = self.sequence = 0  # number of the segment being written; of the last record
         self.oldest = 1  # oldest segment that compaction has not finished
         self.trimmed_to = 1  # oldest segment by the newest durable TRIM; open views keep segments before `oldest`
-        self.truncated_bytes = 0
+        self.truncated_bytes = 0  # torn bytes that opening cut off
         self.failed: str | None = None
         self.compaction_error: StoreCorrupted | OSError | None = None  # reason why compaction stopped
         self.time = self.last_clock = 0  # store time and clock reading at the last call of `now`, in ms
-        self.key_changes: KeyChanges = {}
+        self.key_changes: KeyChanges = {}  # of the active segment, for its hint
         self.moved_bytes = self.written_bytes = 0
         self._pending: deque[tuple[Sequence[Change], asyncio.Future[None], int]] = deque()
         self._pending_bytes = 0
