--- a/otterquay/store/format1.py
+++ b/otterquay/store/format1.py
@@ -1,7 +1,7 @@
-"""Version 1 of the store's files, read only to be upgraded: a log of one record a batch, and bases.
+"""File format version 1, read for upgrades only: log segments with one record per batch, and base snapshots.
 
-A base stood for all segments up to its number. A batch named the last sequence number that was synced when it was
-written: by that a torn group at the end was told from damage to what was synced.
+A base replaced all segments up to its number. Each batch stored the last sequence number that was synced when it
+was written, which distinguishes a torn group at the end from damage to synced records.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from otterquay.store.files import numbered
 
 MAGIC, VERSION = b"oqstore\0", 1
-_HEAD = struct.Struct("<8sHBxIQQ")  # magic, version, kind, reserved, number, tag
-_RECORD = struct.Struct("<IBxxxQQQ")  # length, kind, sequence, synced, tag
+_FILE_HEADER = struct.Struct("<8sHBxIQQ")  # magic, version, kind, reserved, number, checksum
+_RECORD_HEADER = struct.Struct("<IBxxxQQQ")  # length, kind, sequence, synced, checksum
 LOG, BASE = 1, 2
 BATCH, PIECE, END = 1, 2, 3
-HEAD_SIZE, RECORD_SIZE = _HEAD.size, _RECORD.size
-CONTENT_MOST = 64 * 1024 * 1024
+HEADER_SIZE, RECORD_HEADER_SIZE = _FILE_HEADER.size, _RECORD_HEADER.size
+MAX_CONTENT_BYTES = 64 * 1024 * 1024
 
 Change = tuple[str, bytes, bytes | None]  # table, key, value; None removes
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """A whole record and where it stands."""
+    """An intact record; `start` and `end` are offsets in the file."""
 
     kind: int
     sequence: int
@@ -38,56 +38,59 @@
     end: int
 
 
-class Bad(Exception):
-    """Bytes at `offset` that are no whole record or head."""
+class FormatError(Exception):
+    """The bytes at `offset` are no intact record or header."""
 
     def __init__(self, offset: int, reason: str) -> None:
         super().__init__(f"offset {offset}: {reason}")
         self.offset, self.reason = offset, reason
 
 
-def _tag(number: int, kind: int, sequence: int, synced: int, content: bytes) -> int:
+def _record_checksum(number: int, kind: int, sequence: int, synced: int, content: bytes) -> int:
     head = struct.pack("<QBQQI", number, kind, sequence, synced, len(content))
     return xxhash.xxh3_64_intdigest(head + content)
 
 
-def write_head(kind: int, number: int) -> bytes:
-    """The head of a file."""
-    tag = xxhash.xxh3_64_intdigest(struct.pack("<HBQ", VERSION, kind, number))
-    return _HEAD.pack(MAGIC, VERSION, kind, 0, number, tag)
+def write_header(kind: int, number: int) -> bytes:
+    """Encode a file header."""
+    checksum = xxhash.xxh3_64_intdigest(struct.pack("<HBQ", VERSION, kind, number))
+    return _FILE_HEADER.pack(MAGIC, VERSION, kind, 0, number, checksum)
 
 
-def read_head(data: bytes, kind: int, number: int) -> None:
-    """Check a head; Bad where it is not that of this file, or of a later version."""
-    if len(data) < HEAD_SIZE:
-        raise Bad(0, "the head is cut short")
-    magic, version, found, reserved, named, tag = _HEAD.unpack_from(data)
+def read_header(data: bytes, kind: int, number: int) -> None:
+    """Check a file header; FormatError if it is damaged, belongs to another file or has a later version."""
+    if len(data) < HEADER_SIZE:
+        raise FormatError(0, "file header is truncated")
+    magic, version, found, reserved, named, checksum = _FILE_HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Bad(0, "not a store's file")
+        raise FormatError(0, "not a store file")
     if version > VERSION:
-        raise Bad(0, f"written by version {version}, this one reads up to {VERSION}")
-    whole = data[:HEAD_SIZE] == write_head(kind, number)
-    if not whole or (found, named, reserved) != (kind, number, 0) or not tag:
-        raise Bad(0, "the head is damaged or another file's")
+        raise FormatError(0, f"written by version {version}, this one reads up to {VERSION}")
+    intact = data[:HEADER_SIZE] == write_header(kind, number)
+    if not intact or (found, named, reserved) != (kind, number, 0) or not checksum:
+        raise FormatError(0, "file header is damaged or belongs to another file")
 
 
 def read_record(data: bytes, offset: int, number: int) -> Record:
-    """The record at `offset`, or Bad."""
-    if offset + RECORD_SIZE > len(data):
-        raise Bad(offset, "a record's head is cut short")
-    length, kind, sequence, synced, tag = _RECORD.unpack_from(data, offset)
-    end = offset + RECORD_SIZE + length
-    if length > CONTENT_MOST or end > len(data):
-        raise Bad(offset, "a record is cut short")
-    content = data[offset + RECORD_SIZE : end]
-    if data[offset + 5 : offset + 8] != b"\0\0\0" or _tag(number, kind, sequence, synced, content) != tag:
-        raise Bad(offset, "a record's tag does not fit")
+    """Decode the record at `offset`; FormatError if it is not intact."""
+    if offset + RECORD_HEADER_SIZE > len(data):
+        raise FormatError(offset, "record header is truncated")
+    length, kind, sequence, synced, checksum = _RECORD_HEADER.unpack_from(data, offset)
+    end = offset + RECORD_HEADER_SIZE + length
+    if length > MAX_CONTENT_BYTES or end > len(data):
+        raise FormatError(offset, "record is truncated")
+    content = data[offset + RECORD_HEADER_SIZE : end]
+    if (
+        data[offset + 5 : offset + 8] != b"\0\0\0"
+        or _record_checksum(number, kind, sequence, synced, content) != checksum
+    ):
+        raise FormatError(offset, "record checksum mismatch")
     return Record(kind, sequence, synced, msgspec.msgpack.decode(content, type=list[Change]), offset, end)
 
 
 def records(data: bytes, number: int) -> Iterator[Record]:
-    """The records after the head, until the end; Bad at the first that is none."""
-    offset = HEAD_SIZE
+    """The records after the header; FormatError at the first that is not intact."""
+    offset = HEADER_SIZE
     while offset < len(data):
         record = read_record(data, offset, number)
         yield record
@@ -95,57 +98,57 @@
 
 
 def later_record(data: bytes, offset: int, number: int, sequence: int) -> int | None:
-    """Where a whole record after `offset` stands that was written when `sequence` was synced, if any does."""
-    for at in range(offset + 1, len(data) - RECORD_SIZE + 1):
-        length, kind, _, synced, _ = _RECORD.unpack_from(data, at)
-        if kind == BATCH and synced >= sequence and at + RECORD_SIZE + length <= len(data):
+    """Offset of an intact record after `offset` that was written after the sync of `sequence`, or None."""
+    for at in range(offset + 1, len(data) - RECORD_HEADER_SIZE + 1):
+        length, kind, _, synced, _ = _RECORD_HEADER.unpack_from(data, at)
+        if kind == BATCH and synced >= sequence and at + RECORD_HEADER_SIZE + length <= len(data):
             try:
                 read_record(data, at, number)
-            except (Bad, msgspec.MsgspecError):
+            except (FormatError, msgspec.MsgspecError):
                 continue
             return at
     return None
 
 
-def present(names: Sequence[str]) -> bool:
-    """Whether files of this version are there."""
+def has_files(names: Sequence[str]) -> bool:
+    """Whether there are files of this version."""
     return bool(numbered(names, ".base") or numbered(names, ".log"))
 
 
-def amounts(names: Sequence[str], read: Callable[[str], bytes]) -> dict[tuple[str, bytes], bytes]:
-    """All that a folder of this version holds; Bad with the file's name in front of the reason."""
+def read_all(names: Sequence[str], read: Callable[[str], bytes]) -> dict[tuple[str, bytes], bytes]:
+    """All keys and values in a folder of this version; FormatError with the file's name before the reason."""
     bases, logs = numbered(names, ".base"), numbered(names, ".log")
-    upto, sequence, ended = bases[-1] if bases else 0, 0, not bases
-    held: dict[tuple[str, bytes], bytes] = {}
-    files = [(BASE, upto, f"{upto:016x}.base")] if bases else []
-    logs = [n for n in logs if n > upto]
+    base_number, sequence, ended = bases[-1] if bases else 0, 0, not bases
+    values: dict[tuple[str, bytes], bytes] = {}
+    files = [(BASE, base_number, f"{base_number:016x}.base")] if bases else []
+    logs = [n for n in logs if n > base_number]
     files += [(LOG, n, f"{n:016x}.log") for n in logs]
-    if logs != list(range(upto + 1, upto + 1 + len(logs))) or not logs:
-        raise Bad(0, f"{upto + 1:016x}.log: a segment is gone")
+    if logs != list(range(base_number + 1, base_number + 1 + len(logs))) or not logs:
+        raise FormatError(0, f"{base_number + 1:016x}.log: segment is missing")
     for kind, number, name in files:
         data, good = read(name), 0
         try:
-            read_head(data, kind, number)
+            read_header(data, kind, number)
             for record in records(data, number):
                 if kind == LOG and (record.kind != BATCH or record.sequence != sequence + 1):
-                    raise Bad(record.start, f"sequence {record.sequence} after {sequence}")
+                    raise FormatError(record.start, f"sequence {record.sequence} after {sequence}")
                 for table, key, value in record.changes:
                     if value is None:
-                        held.pop((table, key), None)
+                        values.pop((table, key), None)
                     else:
-                        held[table, key] = value
+                        values[table, key] = value
                 sequence, good, ended = record.sequence, record.end, ended or record.kind == END
-        except Bad as bad:
+        except FormatError as error:
             torn = (
                 number == logs[-1]
                 and kind == LOG
                 and (
-                    later_record(data, bad.offset, number, sequence + 1) is None
-                    and (good or len(data) <= HEAD_SIZE)
+                    later_record(data, error.offset, number, sequence + 1) is None
+                    and (good or len(data) <= HEADER_SIZE)
                 )
             )
             if not torn:
-                raise Bad(bad.offset, f"{name}: {bad.reason}") from None
+                raise FormatError(error.offset, f"{name}: {error.reason}") from None
         if not ended:
-            raise Bad(len(data), f"{name}: the base has no end")
-    return held
+            raise FormatError(len(data), f"{name}: base has no END record")
+    return values
