--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -8,9 +8,9 @@
 from otterquay.agent.web import WebAgent
 from otterquay.config.schema import Service
 from otterquay.duties.lease import Terms
-from otterquay.fleet.plan import Pace, Plan
+from otterquay.fleet.plan import Intervals, Plan
 from otterquay.fleet.shell import FleetWork
-from otterquay.fleet.transport import group_number
+from otterquay.fleet.transport import group_id
 from otterquay.group.parts import Times as GroupTimes
 from otterquay.logs import Logger
 from otterquay.runtimes.machine import Machine
@@ -37,7 +37,7 @@
             kind: Machine(m.family, (m.cores, m.clock_ghz, m.memory_gib)) for kind, m in service.machine.items()
         },
         sized={name: site.size for name, site in capacity.site.items() if site.size is not None},
-        pace=Pace(
+        intervals=Intervals(
             yard=capacity.look / 1e3,
             settle=group.settle / 1e3,
             owes=capacity.owes / 1e3,
@@ -67,7 +67,7 @@
         plan,
         group.listen or group.agent[str(plan.me)].address,
         {int(name): one.address for name, one in group.agent.items()},
-        group_number(group.name),
+        group_id(group.name),
         read_key(Path(group.key_file)),
         capacity.yard,
         store,
--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -15,7 +15,7 @@
 from otterquay.duties.spread.progress import Progress
 from otterquay.duties.state import Duties
 from otterquay.duties.token import Token, duty_of, site_of
-from otterquay.fleet import words
+from otterquay.fleet import codec
 from otterquay.fleet.plan import Plan
 from otterquay.group.member import Member
 from otterquay.group.parts import Role
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Desk:
+class LeaderService:
     """Volatile: a fresh leader begins a fresh one, and grants no site before it has heard a majority of it."""
 
     plan: Plan
@@ -65,12 +65,12 @@
             self.waiting.clear()
             self.relieved.clear()
             self.chief = None
-        if self.chief is None and self.plan.pace.owes and self.member.led_at:
+        if self.chief is None and self.plan.intervals.owes and self.member.led_at:
             self.chief = Chief(
                 self.plan.terms,
-                4 * self.plan.pace.status,
+                4 * self.plan.intervals.status,
                 self.member.led_at + 2 * self.plan.group.election,
-                Progress(self.plan.pace.owes),
+                Progress(self.plan.intervals.owes),
             )
         return bool(self.member.led_at) and self.member.confirmed(now)
 
@@ -125,7 +125,7 @@
         agents = self.plan.agents_of(site)
         if agent not in agents:
             return "not of this site"
-        fresh = [s for a in agents if (s := self.seen.get(a)) and now - s.at <= 4 * self.plan.pace.status]
+        fresh = [s for a in agents if (s := self.seen.get(a)) and now - s.at <= 4 * self.plan.intervals.status]
         heard = sum(not s.status.cut for s in fresh)
         reason = ""
         if heard <= len(agents) // 2:
@@ -134,7 +134,7 @@
             reason = "a coordinator's journal is open"
         if not reason:
             self.waiting.pop(site, None)
-        elif now - self.waiting.setdefault(site, now) > self.plan.pace.settle:
+        elif now - self.waiting.setdefault(site, now) > self.plan.intervals.settle:
             reason = ""
         return reason
 
@@ -213,12 +213,12 @@
     def _posts(self, now: float, chief: Chief, out: Out) -> None:
         """Posts change hands, and owners of a site's servers that others see bring nothing are relieved."""
         whole = self.duties.whole
-        moves = chief.step(now, self.wanted(), whole.spread) if now >= chief.next_at else []
+        moves = chief.step(now, self.wanted_posts(), whole.spread) if now >= chief.next_at else []
         if moves and not self._mine(now, Assign(moves), out):
             chief.settled()
         owners = {
             site: (state.owner, state.token.group)
-            for site in self.plan.names()
+            for site in self.plan.site_names()
             if (state := whole.duties[duty_of(site)]).owner is not None
         }
         room = whole.bound - self.duties.taken()
@@ -234,11 +234,13 @@
                     out.say("owner_relieved", duty=duty, agent=owner, reason=why)
         self.relieved = {at: until for at, until in self.relieved.items() if until > now}
 
-    def wanted(self) -> list[str]:
+    def wanted_posts(self) -> list[str]:
         """Posts that there should be: the kinds wanted of each site, and those that run there."""
         whole = self.duties.whole
-        kinds = {site: {*self.plan.wants.get(site, {}), *whole.running.get(site, {})} for site in self.plan.names()}
-        return posts_of(self.plan.names(), kinds)
+        kinds = {
+            site: {*self.plan.wants.get(site, {}), *whole.running.get(site, {})} for site in self.plan.site_names()
+        }
+        return posts_of(self.plan.site_names(), kinds)
 
 
 def reply(out: Out, me: int, to: int, via: int | None, message: dm.Message) -> None:
@@ -246,4 +248,4 @@
     if via is None:
         out.send(to, message)
     else:
-        out.send(via, dm.Relayed(me, to, words.encode(message)))
+        out.send(via, dm.Relayed(me, to, codec.encode(message)))
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -23,19 +23,19 @@
 from otterquay.duties.spread.looking import Looking
 from otterquay.duties.state import Duties
 from otterquay.duties.token import CAPACITY, Token, duty_of, site_of
-from otterquay.fleet import words
-from otterquay.fleet.coordinating import Coordinating, HandingBack
-from otterquay.fleet.leader import Desk, reply
+from otterquay.fleet import codec
+from otterquay.fleet.leader import LeaderService, reply
 from otterquay.fleet.plan import Plan
-from otterquay.fleet.sitework import SiteWork
+from otterquay.fleet.site_coordinator import Coordinating, JournalHandover
+from otterquay.fleet.site_reconciler import SiteReconciler
 from otterquay.group import messages as gm
 from otterquay.group.joining import IDENTITY, KNOWN, Joining
 from otterquay.group.log import LOG, META
 from otterquay.group.member import Member, started
 from otterquay.group.parts import Role
 from otterquay.runtimes.demand import FRESH_S, Demand
+from otterquay.runtimes.evidence import SharedEvidence
 from otterquay.runtimes.machine import Machine
-from otterquay.runtimes.shared import Shared
 from otterquay.runtimes.sizing import needed
 from otterquay.sites import messages as sm
 from otterquay.sites.journal import JOURNAL, Journal
@@ -69,9 +69,9 @@
         self._keep_life(self.begun)
         self.client = Client(plan.me, self.life, plan.members)
         self.asked_member = rng.randrange(len(plan.members))
-        self.duties = Duties(plan.names(), plan.bound)
+        self.duties = Duties(plan.site_names(), plan.bound)
         self.member: Member | None = None
-        self.desk: Desk | None = None
+        self.leader_service: LeaderService | None = None
         if plan.me in plan.members:
             meta = tables.get(META, {})
             joining = Joining.begin(
@@ -86,7 +86,7 @@
             self.member = started(
                 plan.me, plan.members, self.duties, tables, joining, rng, now, plan.group, plan.sizes
             )
-            self.desk = Desk(plan, self.member, self.duties)
+            self.leader_service = LeaderService(plan, self.member, self.duties)
         self.site = Site.load(
             plan.me,
             plan.agents_of(plan.site),
@@ -99,17 +99,17 @@
             self.life,
             self.begun,
         )
-        self.held: dict[str, Held] = {}
-        self.work: SiteWork | None = None
+        self.owned: dict[str, Held] = {}
+        self.reconciler: SiteReconciler | None = None
         self.demand = Demand(now)
-        self.coordinating = Coordinating(plan.site, self.site, self._want, plan.pace.yard, self._ask)
-        self.handing = HandingBack(plan.site, self.site, self.client.propose)
+        self.coordinating = Coordinating(plan.site, self.site, self._want, plan.intervals.yard, self._ask)
+        self.handing = JournalHandover(plan.site, self.site, self.client.propose)
         self.pointed = False  # by a member, to the leader: it is asked before others are tried
         self.beat: dm.Beat | None = None
         self.beat_at = self.direct_at = -1e9
-        self.status_at = now + plan.pace.status * rng.random()
+        self.status_at = now + plan.intervals.status * rng.random()
         self.holder = Holder(plan.terms)
-        self.looking = Looking(plan.pace.yard, plan.pace.owes / 2, self._ask, self.client.propose)
+        self.looking = Looking(plan.intervals.yard, plan.intervals.owes / 2, self._ask, self.client.propose)
         self.claiming: dict[str, float] = {}
         self.joining_at = -1e9
         self.allotting = self.fleet_at = 0.0
@@ -119,7 +119,7 @@
         self.now = now
         self.leaving = False
         self.broken = ""
-        self.shared = Shared(plan.me, self.life, plan.machines)
+        self.run_times = SharedEvidence(plan.me, self.life, plan.machines)
         self.published = 0  # changes of the rows that the newest table of ours knows of
         self.listener: object = None  # who is told our rows: another one has heard none of them
         self.caps_changed: Callable[[dict[int, float]], None] = lambda caps: None
@@ -142,9 +142,9 @@
         self.now = now
         for tag in [tag for tag, asked in self.asked.items() if now >= asked.until]:
             self.asked.pop(tag).told(now, Answer(0), out)  # none came: it may have been done or not
-        if self.member and self.desk:
+        if self.member and self.leader_service:
             self.member.tick(now, out)
-            self.desk.tick(now, out)
+            self.leader_service.tick(now, out)
         self.site.tick(now, out)
         if now >= self.status_at:
             self._status(now, out)
@@ -152,7 +152,7 @@
         if self.leaving and self.member and self._said_all():
             self.member.hand(now, out)
         self._own(now, out)
-        if self.plan.pace.owes and not self.leaving:
+        if self.plan.intervals.owes and not self.leaving:
             self.looking.step(now, self.holder.held(now), self._said_all(), out)
         self.coordinating.step(now, out)
         self.handing.step(now, out)
@@ -165,14 +165,14 @@
             times.append(self.member.due())
         return min(times)
 
-    def receive(self, now: float, sender: int, message: words.Message, via: int | None = None) -> Out:
+    def receive(self, now: float, sender: int, message: codec.Message, via: int | None = None) -> Out:
         """A message of another agent, which the transport vouches for."""
         out = Out()
         if not self.broken:
             self._receive(now, sender, message, via, out)
         return self._end(now, out)
 
-    def lasts(self, now: float, step: Out) -> Out:
+    def writes_durable(self, now: float, step: Out) -> Out:
         """A step's writes have come to last."""
         out = Out()
         for told in step.lasting:
@@ -193,29 +193,29 @@
         out = Out()
         if not self.broken:
             self.broken = reason
-            self.held.clear()
+            self.owned.clear()
             self.holder.drop()
-            self.work = None
+            self.reconciler = None
             self.client.clear()
             self.asked.clear()
             out.say("fleet_work_stopped", reason=reason)
         return out
 
-    def leave(self, now: float) -> Out:
+    def shut_down(self, now: float) -> Out:
         """A planned end: hand over what is owned."""
         out = Out()
         self.leaving = True
         if self.site.role.value == "coordinator":
             self.site.stop(now, "this agent ends", out)
-        for duty, held in self.held.items():
+        for duty, held in self.owned.items():
             self.client.propose(now, cm.Release(duty, held.token), lambda *_: None, out)
-        self.held.clear()
+        self.owned.clear()
         self.holder.drop()
-        self.work = None
+        self.reconciler = None
         self.status_at = now  # the next step tells the leader that its posts are free
         return self._end(now, out)
 
-    def left(self) -> bool:
+    def has_left(self) -> bool:
         """Whether all that a planned end had to say was taken, and another one leads where this one did."""
         leads = self.member is not None and len(self.plan.members) > 1 and self.member.role is Role.LEADER
         return self._said_all() and not leads
@@ -245,18 +245,18 @@
     def caps(self) -> dict[int, float]:
         """Caps by build that hold here beside the desk's; they only tighten those."""
         caps = dict(self.beat.caps) if self.beat else {}
-        for build, cap in self.site.kept.caps.items():
+        for build, cap in self.site.stored.caps.items():
             caps[build] = min(cap, caps.get(build, 1.0))
         return caps
 
     # --- messages ---
-    def _receive(self, now: float, sender: int, message: words.Message, via: int | None, out: Out) -> None:
+    def _receive(self, now: float, sender: int, message: codec.Message, via: int | None, out: Out) -> None:
         if isinstance(message, GROUP):
             if self.member and via is None:
                 refused = self.member.joining.refused
                 self.member.receive(now, sender, message, out)
                 if self.member.joining.refused != refused:
-                    self.site.forgot(now, out)
+                    self.site.bar_votes(now, out)
         elif isinstance(message, SITES):
             if via is None:
                 self.site.receive(now, sender, message, out)
@@ -271,17 +271,30 @@
         me = self.plan.me
         match message:
             case dm.Propose():
-                if self.desk and (said := self.desk.propose(now, sender, via, message, out)):
+                if self.leader_service and (said := self.leader_service.propose(now, sender, via, message, out)):
                     reply(out, me, sender, via, said)
             case dm.Status():
-                if self.desk:
-                    reply(out, me, sender, via, self.desk.status(now, sender, message, self.shared.epoch(now)))
+                if self.leader_service:
+                    reply(
+                        out,
+                        me,
+                        sender,
+                        via,
+                        self.leader_service.status(now, sender, message, self.run_times.epoch(now)),
+                    )
             case dm.AskBooks():
-                if self.desk and self.member and self.desk.leads(now) and message.site in self.plan.names():
-                    desk, site, number = self.desk, message.site, message.number
-                    self.member.read(now, lambda _, o: reply(o, me, sender, via, desk.books(site, number)), out)
+                if (
+                    self.leader_service
+                    and self.member
+                    and self.leader_service.leads(now)
+                    and message.site in self.plan.site_names()
+                ):
+                    leader_service, site, number = self.leader_service, message.site, message.number
+                    self.member.read(
+                        now, lambda _, o: reply(o, me, sender, via, leader_service.books(site, number)), out
+                    )
             case dm.AskTable():
-                if self.desk:
+                if self.leader_service:
                     whole = self.duties.whole
                     reply(out, me, sender, via, dm.Table(whole.table_version, whole.table_token, whole.table))
             case dm.Done():
@@ -298,15 +311,15 @@
                 if message.life == self.life and sender in self.plan.members:
                     self._beat(now, sender, message, out)
             case dm.Books():
-                if self.work and self.work.site == message.site and sender in self.plan.members:
-                    self.work.booked(message, now, out)
-                if CAPACITY in self.held:
+                if self.reconciler and self.reconciler.site == message.site and sender in self.plan.members:
+                    self.reconciler.booked(message, now, out)
+                if CAPACITY in self.owned:
                     self._allot(now, message, out)
             case dm.Table():
                 if sender in self.plan.members:
-                    self.shared.told(message.version, message.table)
+                    self.run_times.told(message.version, message.table)
             case dm.Rows():
-                self.shared.merge(message.rows, sender)
+                self.run_times.merge(message.rows, sender)
             case dm.Asked():
                 if sender in self.site.agents and via is None:
                     self.demand.heard(now, sender, message.rates)
@@ -318,7 +331,7 @@
             told = m.origin in plan.members and sender in self.site.agents
             if asked or told:
                 try:
-                    inner = words.decode(m.body)
+                    inner = codec.decode(m.body)
                 except ValueError as error:
                     return out.say("relayed_refused", sender=sender, reason=str(error)[:200])
                 if isinstance(inner, DIRECT):
@@ -333,10 +346,10 @@
     def _member(self, now: float, member: int, message: dm.Message, out: Out) -> None:
         """To a member; while none is heard directly, also by way of who of the site still hears the group."""
         out.send(member, message)
-        if now - self.direct_at > 2 * self.plan.pace.status and member != self.plan.me:
+        if now - self.direct_at > 2 * self.plan.intervals.status and member != self.plan.me:
             nearest = self.site.nearest(now)
             if nearest is not None and nearest != member:
-                out.send(nearest, dm.Relayed(self.plan.me, member, words.encode(message)))
+                out.send(nearest, dm.Relayed(self.plan.me, member, codec.encode(message)))
 
     def _reborn(self, now: float, life: int, out: Out) -> None:
         """Our disk has forgotten how often we were started: go on above what the group knows."""
@@ -344,20 +357,20 @@
         self.life = lives.begin(max(lives.start_of(self.life), lives.start_of(life)) + 1, self.rng)
         self._keep_life(out)
         self.site.life = self.life
-        self.site.forgot(now, out)
+        self.site.bar_votes(now, out)
         self.client.life, self.client.number, self.client.out = self.life, 0, None
         self.holder.drop()
-        self.shared.reborn(self.life)
+        self.run_times.reborn(self.life)
 
     # --- the group ---
     def _status(self, now: float, out: Out) -> None:
-        self.status_at = now + self.plan.pace.status
-        if now - self.beat_at > 2 * self.plan.pace.status and not self.pointed:
+        self.status_at = now + self.plan.intervals.status
+        if now - self.beat_at > 2 * self.plan.intervals.status and not self.pointed:
             self.asked_member = (self.asked_member + 1) % len(self.plan.members)
         self.pointed = False
-        kept = self.site.kept
+        kept = self.site.stored
         cut = self.site.following.term > 0
-        posts = self.holder.status(now) if self.plan.pace.owes and not self.leaving else (0, 0, [])
+        posts = self.holder.status(now) if self.plan.intervals.owes and not self.leaving else (0, 0, [])
         status = dm.Status(self.life, self.plan.site, kept.followed[-128:], kept.spent, cut, *posts)
         self._member(now, self.plan.members[self.asked_member], status, out)
         if self.client.out is not None and now - self.client.first_at > 2 * self.client.again:
@@ -367,22 +380,22 @@
     def _beat(self, now: float, sender: int, beat: dm.Beat, out: Out) -> None:
         self.beat, self.beat_at = beat, now
         site = beat.site
-        self.shared.begin(now, beat.epoch)
+        self.run_times.begin(now, beat.epoch)
         self.site.upstream(now, Token(site.token.group), site.granted, site.settled, site.floor, site.closed, out)
         if self.leaving:
             return
         if beat.posts is not None:
             self.holder.answered(now, beat.number, beat.posts)
-        if self.site.kept.barred == UNKNOWN and now - self.joining_at > 2.0:
+        if self.site.stored.barred_until == UNKNOWN and now - self.joining_at > 2.0:
             self.joining_at = now
             self.client.propose(now, cm.Join(self.plan.site), self._joined, out)
         for duty, owner in beat.owners.items():
-            free = owner is None and duty not in self.held and now - self.claiming.get(duty, -1e9) > 2.0
+            free = owner is None and duty not in self.owned and now - self.claiming.get(duty, -1e9) > 2.0
             rivals = len(self.site.agents) if site_of(duty) else len(self.plan.sites)
             if free and self.site.following.term == 0 and self.rng.random() < 2 / rivals:
                 self.claiming[duty] = now
                 self.client.propose(now, cm.Claim(duty), partial(self._granted, duty, now), out)
-        if beat.table > self.shared.version:
+        if beat.table > self.run_times.version:
             self._member(now, sender, dm.AskTable(), out)
 
     def _joined(self, now: float, result: cm.Result, out: Out) -> None:
@@ -392,29 +405,29 @@
     def _granted(self, duty: str, asked_at: float, now: float, result: cm.Result, out: Out) -> None:
         if not result.ok or self.leaving or now >= asked_at + self.plan.terms.owner:
             return
-        self.held[duty] = Held(result.token, asked_at + self.plan.terms.owner)
+        self.owned[duty] = Held(result.token, asked_at + self.plan.terms.owner)
         out.say("duty_taken", duty=duty, token=str(result.token))
         if duty == duty_of(self.plan.site):
-            self.work = SiteWork(
+            self.reconciler = SiteReconciler(
                 self.plan.site,
                 result.token,
                 self._want,
-                self.plan.pace.yard,
+                self.plan.intervals.yard,
                 self._ask,
                 self.client.propose,
-                retire=self.plan.pace.retire,
+                retire=self.plan.intervals.retire,
                 sees_all=self._sees_all,
             )
 
     def _own(self, now: float, out: Out) -> None:
         """Go on with what is owned, renew it, and let go of it when the lease or the token says so."""
-        for duty, held in list(self.held.items()):
-            stale = self.work is not None and duty == duty_of(self.plan.site) and self.work.stale
+        for duty, held in list(self.owned.items()):
+            stale = self.reconciler is not None and duty == duty_of(self.plan.site) and self.reconciler.stale
             if now >= held.until or stale:
                 out.say("duty_lost", duty=duty, token=str(held.token), reason="refused" if stale else "lease")
-                del self.held[duty]
+                del self.owned[duty]
                 if duty == duty_of(self.plan.site):
-                    self.work = None
+                    self.reconciler = None
                 if stale:
                     self.client.propose(now, cm.Release(duty, held.token), lambda *_: None, out)
                 continue
@@ -422,23 +435,23 @@
                 held.renewing = self.client.propose(
                     now, cm.Renew(duty, held.token), partial(self._renewed, duty, held, now), out
                 )
-        work = self.work if duty_of(self.plan.site) in self.held else None
+        work = self.reconciler if duty_of(self.plan.site) in self.owned else None
         if work and work.step(now, self.beat.site if self.beat else None, out):
             self._ask_books(now, out)
-        if CAPACITY in self.held and now >= self.fleet_at:
-            self.fleet_at = now + 2 * self.plan.pace.yard
+        if CAPACITY in self.owned and now >= self.fleet_at:
+            self.fleet_at = now + 2 * self.plan.intervals.yard
             self._ask_books(now, out)
             self._publish(now, out)
 
     def _ask_books(self, now: float, out: Out) -> None:
         self.reads += 1
-        if self.work:
-            self.work.reads = self.reads
+        if self.reconciler:
+            self.reconciler.reads = self.reads
         self._member(now, self.client.members[self.client.leader], dm.AskBooks(self.plan.site, self.reads), out)
 
     def _renewed(self, duty: str, held: Held, asked_at: float, now: float, result: cm.Result, out: Out) -> None:
         held.renewing = False
-        if self.held.get(duty) is not held:
+        if self.owned.get(duty) is not held:
             return
         if result.ok:
             held.until = max(held.until, asked_at + self.plan.terms.owner)
@@ -451,38 +464,41 @@
         if now < self.allotting:
             return
         room = books.room
-        for site in self.plan.names():
+        for site in self.plan.site_names():
             left = books.granted[site] - books.spent[site]
             more = min(self.plan.allowance - left, room)
             if left <= self.plan.allowance // 2 and more > 0:
                 room -= more
-                self.allotting = now + self.plan.pace.yard
+                self.allotting = now + self.plan.intervals.yard
                 self.client.propose(
-                    now, cm.Allot(self.held[CAPACITY].token, site, books.granted[site] + more), lambda *_: None, out
+                    now,
+                    cm.Allot(self.owned[CAPACITY].token, site, books.granted[site] + more),
+                    lambda *_: None,
+                    out,
                 )
 
     def _publish(self, now: float, out: Out) -> None:
         """The fleet's table, where the rows have changed since it was last made: a fit is no small work."""
-        if self.beat is None or self.shared.evidence.changes == self.published:
+        if self.beat is None or self.run_times.evidence.changes == self.published:
             return
-        self.published = self.shared.evidence.changes
-        if table := self.shared.table():
-            version = max(self.beat.table, self.shared.version) + 1
-            self.client.propose(now, cm.Publish(self.held[CAPACITY].token, version, table), lambda *_: None, out)
+        self.published = self.run_times.evidence.changes
+        if table := self.run_times.table():
+            version = max(self.beat.table, self.run_times.version) + 1
+            self.client.propose(now, cm.Publish(self.owned[CAPACITY].token, version, table), lambda *_: None, out)
 
     def _evidence(self, now: float, out: Out) -> None:
         """Our rows of run times go to who owns the fleet's capacity, or to the coordinator while the site is
         cut.
         """
         self._tell_demand(now, out)
-        owner = self.beat.owners.get(CAPACITY) if self.beat and not self.site.lost(now) else None
+        owner = self.beat.owners.get(CAPACITY) if self.beat and not self.site.group_lost(now) else None
         listener = owner if owner is not None else self.site.following
         if listener != self.listener:
             self.listener = listener
-            self.shared.all_again()
+            self.run_times.all_again()
         if owner is None and self.site.following.term == 0:
             return  # nobody listens
-        rows = self.shared.rows()
+        rows = self.run_times.rows()
         if not rows:
             return
         if owner is not None and owner != self.plan.me:
@@ -496,7 +512,9 @@
         rates = self.demand.own(now)
         if not rates or self.plan.site not in self.plan.sized:
             return
-        owner = self.beat.owners.get(duty_of(self.plan.site)) if self.beat and not self.site.lost(now) else None
+        owner = (
+            self.beat.owners.get(duty_of(self.plan.site)) if self.beat and not self.site.group_lost(now) else None
+        )
         for agent in [owner] if owner is not None else self.site.agents:
             if agent != self.plan.me:
                 out.send(agent, dm.Asked(rates))
@@ -507,8 +525,8 @@
         kind = self.plan.sized.get(self.plan.site)
         if kind is not None:
             demand = self.demand.of_site(now)
-            times = {cls: self.shared.estimate(cls, kind) for cls in demand}
-            cores = self.plan.machines.get(kind, Machine()).figures[0] or 1.0
+            times = {cls: self.run_times.estimate(cls, kind) for cls in demand}
+            cores = self.plan.machines.get(kind, Machine()).specs[0] or 1.0
             need = needed(demand, times, cores, alive.get(kind, 0), self.plan.sizing)
             # with run times unknown nothing is known to be too many
             count = need.count if need.known else max(need.count, alive.get(kind, 0))
@@ -533,7 +551,7 @@
         """What operators ask for."""
         return {
             "life": self.life,
-            "owns": {d: str(h.token) for d, h in self.held.items()},
+            "owns": {d: str(h.token) for d, h in self.owned.items()},
             "site": self.site.role.value,
             "following": str(self.site.following),
             "leads": bool(self.member and self.member.role.value == "leader"),
--- a/otterquay/fleet/plan.py
+++ b/otterquay/fleet/plan.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class Intervals:
     """Seconds: how often an agent tells the leader of itself, looks at the yard, and how long a journal is
     awaited.
     """
@@ -41,7 +41,7 @@
     machines: Mapping[str, Machine] = field(default_factory=dict)
     sized: Mapping[str, str] = field(default_factory=dict)  # by site: the kind ordered as the demand asks
     sizing: Sizing = field(default_factory=Sizing)
-    pace: Pace = field(default_factory=Pace)
+    intervals: Intervals = field(default_factory=Intervals)
     terms: Terms = field(default_factory=Terms)
     group: GroupTimes = field(default_factory=GroupTimes)
     sizes: Sizes = field(default_factory=Sizes)
@@ -52,7 +52,7 @@
         """Our own."""
         return self.sites[self.me]
 
-    def names(self) -> list[str]:
+    def site_names(self) -> list[str]:
         """All sites."""
         return sorted(set(self.sites.values()))
 
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -15,7 +15,7 @@
 from otterquay import interface as it
 from otterquay.cores.out import Out
 from otterquay.duties.errand import Request
-from otterquay.fleet import words, yard_client
+from otterquay.fleet import codec, yard_client
 from otterquay.fleet.node import TABLES, Node, Tables
 from otterquay.fleet.plan import Plan
 from otterquay.fleet.transport import Transport
@@ -75,9 +75,9 @@
     async def stop(self) -> None:
         """Hand over what is owned, then close."""
         if self.node and not self.node.broken:
-            self._step(self.node.leave(self._now()))
+            self._step(self.node.shut_down(self._now()))
             until = self._now() + LEAVE_S
-            while not self.node.left() and self._now() < until:
+            while not self.node.has_left() and self._now() < until:
                 await asyncio.sleep(0.02)
             await asyncio.sleep(0.05)  # the last word, to the coordinator's followers, has no answer
         self.close()
@@ -112,12 +112,12 @@
             self._open.pop(entry.server, None)
         if self.node is None:
             return
-        self.node.demand.note(str(cls))
+        self.node.demand.record(str(cls))
         if trial:
             return  # what a build on trial does is not its hardware's
         late = end is it.Status.TIMEOUT
         if late or end is it.Status.OK:
-            self.node.shared.note(
+            self.node.run_times.record(
                 self._now(),
                 str(cls),
                 str(entry.kind),
@@ -155,7 +155,7 @@
         if self.node is None:
             return
         try:
-            message = words.decode(payload)
+            message = codec.decode(payload)
         except ValueError as error:
             self.log.warning("fleet_message_refused", sender=sender, reason=str(error)[:200])
             return
@@ -192,15 +192,15 @@
                 if send.to == self.plan.me:
                     asyncio.get_running_loop().call_soon(self._loop_back, send.message)
                 else:
-                    self.transport.send(send.to, words.encode(send.message))
+                    self.transport.send(send.to, codec.encode(send.message))
             for call in out.calls:
                 if self._calls < CALLS_MOST:
                     self._calls += 1
                     self._keep(asyncio.get_running_loop().create_task(self._call(call.tag, call.request)))
             if out.lasting:
-                self._step(self.node.lasts(self._now(), out))
+                self._step(self.node.writes_durable(self._now(), out))
 
-    def _loop_back(self, message: words.Message) -> None:
+    def _loop_back(self, message: codec.Message) -> None:
         if self.node:
             self._step(self.node.receive(self._now(), self.plan.me, message))
 
--- a/otterquay/fleet/coordinating.py
+++ b/otterquay/fleet/site_coordinator.py
@@ -71,7 +71,7 @@
         if answer.status != STALE or not self.site.acting:
             return
         newest = Token.parse(answer.etag) if answer.etag else self.token
-        kept = self.site.kept
+        kept = self.site.stored
         if newest > kept.newest:
             kept.newest, kept.voted = newest, None
         self.site.stop(now, "the yard knows a newer token", out)
@@ -90,7 +90,7 @@
             coming += sum(e.count for e, _, _ in self.errands.values() if e.kind == kind and e.id not in known)
             coming += sum(r.act.count for r in self.site.reserves if r.act.kind == kind)
             missing = count - self.listed.alive.get(kind, 0) - coming
-            missing = min(missing, self.site.kept.allowed - self.site.kept.spent)
+            missing = min(missing, self.site.stored.allowed - self.site.stored.spent)
             if missing > 0:
                 self.site.order(now, kind, missing, out)
                 self.changed_at = now
@@ -110,7 +110,7 @@
 
 
 @dataclass(slots=True)
-class HandingBack:
+class JournalHandover:
     """Journals that this agent still has, one after the other; a piece that is told twice is taken once."""
 
     name: str
@@ -120,13 +120,13 @@
 
     def step(self, now: float, out: Out) -> None:
         """Hand over the next journal of a term that is over, while the group is heard."""
-        if self.busy or self.site.lost(now):
+        if self.busy or self.site.group_lost(now):
             return
         over = [t for t in sorted(self.site.journal.acts) if t != self.site.token]
         if over:
-            self._hand(now, over[0], self.site.journal.pieces(over[0]), out)
+            self._send_pieces(now, over[0], self.site.journal.pieces(over[0]), out)
 
-    def _hand(self, now: float, token: Token, pieces: list[list[cm.Act]], out: Out) -> None:
+    def _send_pieces(self, now: float, token: Token, pieces: list[list[cm.Act]], out: Out) -> None:
         piece, rest = pieces[0], pieces[1:]
 
         def taken(at: float, result: cm.Result, o: Out) -> None:
@@ -134,7 +134,7 @@
             if not result.ok:
                 o.say("journal_not_taken", token=str(token), reason=result.reason)
             elif rest:
-                self._hand(at, token, rest, o)
+                self._send_pieces(at, token, rest, o)
             else:
                 self.site.journal.drop(token, o)
 
--- a/otterquay/fleet/sitework.py
+++ b/otterquay/fleet/site_reconciler.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class SiteWork:
+class SiteReconciler:
     """One ownership; it ends with its token."""
 
     site: str
@@ -39,7 +39,9 @@
     next_at: float = 0.0
     stale: bool = False
     asking: bool = False
-    ordering: dict[str, int] = field(default_factory=dict)  # by kind, asked of the group and not yet answered
+    proposed_counts: dict[str, int] = field(
+        default_factory=dict
+    )  # by kind, asked of the group and not yet answered
     told: dict[str, int] = field(default_factory=dict)  # of ended servers, by kind
     retire: float = 0.0  # seconds for which servers have to be too many; 0: never retired
     sees_all: Callable[[float], bool] = lambda now: True  # whether no agent's demand can be missing from `want`
@@ -138,7 +140,7 @@
         """Order what is missing: what is alive, on order, or asked for already is not ordered again."""
         assert self.books is not None
         for kind, count in self.want(now, self.books.alive).items():
-            coming = self.ordering.get(kind, 0) + sum(
+            coming = self.proposed_counts.get(kind, 0) + sum(
                 e.count for e in self.errands.values() if e.kind == kind and not e.final
             )
             coming += sum(o.count for n, o in self.books.orders.items() if o.kind == kind and n not in self.errands)
@@ -148,7 +150,7 @@
                 missing = -self._too_many(now, kind, -missing if coming == 0 else 0)
             if missing:
                 self.numbers += 1
-                self._write(now, f"{self.token}-{self.numbers}", kind, missing, out)
+                self._propose_order(now, f"{self.token}-{self.numbers}", kind, missing, out)
 
     def _too_many(self, now: float, kind: str, more: int) -> int:
         """How many to retire now: the least that were too many for all of `retire`, with all agents heard."""
@@ -162,11 +164,11 @@
         del self.surplus[kind]
         return min(least, more)
 
-    def _write(self, now: float, name: str, kind: str, count: int, out: Out) -> None:
-        self.ordering[kind] = self.ordering.get(kind, 0) + count
+    def _propose_order(self, now: float, name: str, kind: str, count: int, out: Out) -> None:
+        self.proposed_counts[kind] = self.proposed_counts.get(kind, 0) + count
 
         def written(at: float, result: cm.Result, o: Out) -> None:
-            self.ordering[kind] -= count
+            self.proposed_counts[kind] -= count
             self._changed()
             if result.ok:
                 self.errands[name] = Errand(self.site, name, kind, count, self.token)
--- a/otterquay/fleet/transport.py
+++ b/otterquay/fleet/transport.py
@@ -21,15 +21,15 @@
 from otterquay.addresses import split_address
 from otterquay.logs import Logger
 
-NONCE, TAG = 16, 16
-HEAD = struct.Struct(">IQHHQ")  # bytes that follow, group, from, to, number
+NONCE_BYTES, TAG_BYTES = 16, 16
+HEADER = struct.Struct(">IQHHQ")  # bytes that follow, group, from, to, number
 FRAME_MOST = 8 * 1024 * 1024 + 64
 QUEUE_MOST = 512
 WINDOW = 256
 LINES_MOST = 20  # log lines on refused frames of one connection
 
 
-def group_number(name: str) -> int:
+def group_id(name: str) -> int:
     """What frames carry of a group's name."""
     return int.from_bytes(blake3(name.encode()).digest(length=8))
 
@@ -40,14 +40,14 @@
 
 def seal(key: bytes, nonce: bytes, group: int, sender: int, to: int, number: int, payload: bytes) -> bytes:
     """A frame."""
-    body = HEAD.pack(HEAD.size - 4 + len(payload) + TAG, group, sender, to, number) + payload
-    return body + blake3(nonce + body, key=key).digest(length=TAG)
+    body = HEADER.pack(HEADER.size - 4 + len(payload) + TAG_BYTES, group, sender, to, number) + payload
+    return body + blake3(nonce + body, key=key).digest(length=TAG_BYTES)
 
 
-def length_of(head: bytes) -> int:
+def frame_length(head: bytes) -> int:
     """Bytes that follow the first four; FrameRefused where no frame of ours is so long or short."""
     size = int.from_bytes(head)
-    if not HEAD.size - 4 + TAG <= size <= FRAME_MOST:
+    if not HEADER.size - 4 + TAG_BYTES <= size <= FRAME_MOST:
         raise FrameRefused(f"a frame of {size} bytes")
     return size
 
@@ -67,10 +67,10 @@
 
     def open(self, frame: bytes) -> tuple[int, bytes]:
         """Sender and payload of a whole frame; FrameRefused."""
-        body, tag = frame[:-TAG], frame[-TAG:]
-        if blake3(self.nonce + body, key=self.key).digest(length=TAG) != tag:
+        body, tag = frame[:-TAG_BYTES], frame[-TAG_BYTES:]
+        if blake3(self.nonce + body, key=self.key).digest(length=TAG_BYTES) != tag:
             raise FrameRefused("forged, cut short, or of another connection")
-        _, group, sender, to, number = HEAD.unpack_from(body)
+        _, group, sender, to, number = HEADER.unpack_from(body)
         if group != self.group:
             raise FrameRefused(f"of another group, {group:x}")
         if to != self.me or sender not in self.agents or sender == self.me:
@@ -79,7 +79,7 @@
             raise FrameRefused(f"from {sender} on the connection of {self.sender}")
         self.sender = sender
         self._fresh(number)
-        return sender, body[HEAD.size :]
+        return sender, body[HEADER.size :]
 
     def _fresh(self, number: int) -> None:
         if number > self.highest:
@@ -164,7 +164,7 @@
             try:
                 reader, writer = await asyncio.open_connection(*split_address(link.address))
                 self._open.add(writer)
-                nonce = await reader.readexactly(NONCE)
+                nonce = await reader.readexactly(NONCE_BYTES)
                 wait = 0.05
                 await self._feed(link, reader, writer, nonce)
             except (OSError, asyncio.IncompleteReadError) as error:
@@ -202,14 +202,14 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._open.add(writer)
-        nonce = self.rng.randbytes(NONCE)
+        nonce = self.rng.randbytes(NONCE_BYTES)
         frames = Reader(self.key, nonce, self.group, self.me, self.addresses)
         lines = 0
         try:
             writer.write(nonce)
             while True:
                 head = await reader.readexactly(4)
-                size = length_of(head)
+                size = frame_length(head)
                 frame = head + await reader.readexactly(size)
                 try:
                     sender, payload = frames.open(frame)
--- a/otterquay/lab/cluster/faults/words.py
+++ b/otterquay/lab/cluster/faults/words.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from otterquay.duties import messages as dm
-from otterquay.fleet import words
-from otterquay.fleet.transport import Transport, group_number
+from otterquay.fleet import codec
+from otterquay.fleet.transport import Transport, group_id
 from otterquay.lab.cluster.day import Trouble
 from otterquay.lab.cluster.settings import NAME
 from otterquay.logs import silent
@@ -25,7 +25,7 @@
         number,
         "127.0.0.1:0",
         others,
-        group_number(NAME),
+        group_id(NAME),
         world.key,
         random.Random(world.seed),
         lambda *_: None,
@@ -41,6 +41,6 @@
             for server in range(20)
         ]
         for other in world.sites:
-            liar.send(other, words.encode(dm.Rows(rw.encode(rows))))
+            liar.send(other, codec.encode(dm.Rows(rw.encode(rows))))
         version += 1
         await asyncio.sleep(0.2)
--- a/otterquay/lab/cluster/relay.py
+++ b/otterquay/lab/cluster/relay.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from otterquay.addresses import split_address
-from otterquay.fleet.transport import HEAD, NONCE, TAG, FrameRefused, length_of
+from otterquay.fleet.transport import HEADER, NONCE_BYTES, TAG_BYTES, FrameRefused, frame_length
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
         far: asyncio.StreamWriter | None = None
         try:
             far_reader, far = await asyncio.open_connection(*split_address(self.target))
-            writer.write(await far_reader.readexactly(NONCE))
+            writer.write(await far_reader.readexactly(NONCE_BYTES))
             ended = asyncio.create_task(far_reader.read(1))
             frames = asyncio.create_task(self._frames(reader, far))
             await asyncio.wait([ended, frames], return_when=asyncio.FIRST_COMPLETED)
@@ -77,7 +77,7 @@
         loop = asyncio.get_running_loop()
         while True:
             head = await reader.readexactly(4)
-            frame = head + await reader.readexactly(length_of(head))
+            frame = head + await reader.readexactly(frame_length(head))
             wire = self.wire
             if wire.cuts or self.rng.random() < wire.loss:
                 continue
@@ -90,4 +90,4 @@
     def _pass(self, far: asyncio.StreamWriter, frame: bytes) -> None:
         if not far.is_closing() and not self.wire.cuts:
             far.write(frame)
-            self.crossed(self.sender, self.to, frame[HEAD.size : -TAG])
+            self.crossed(self.sender, self.to, frame[HEADER.size : -TAG_BYTES])
--- a/otterquay/lab/cluster/wires.py
+++ b/otterquay/lab/cluster/wires.py
@@ -9,7 +9,7 @@
 from otterquay.duties import commands as cm
 from otterquay.duties import messages as dm
 from otterquay.duties.state import Duties
-from otterquay.fleet import words
+from otterquay.fleet import codec
 from otterquay.group import messages as gm
 from otterquay.lab.fleetsim.judge import Judge
 from otterquay.sites import messages as sm
@@ -36,13 +36,13 @@
     def crossed(self, sender: int, to: int, payload: bytes) -> None:
         """A payload reached its receiver's socket."""
         try:
-            message = words.decode(payload)
+            message = codec.decode(payload)
         except ValueError:
             return
         self.counts[type(message).__name__] += 1
         self.judge.crossed(self.now(), sender, to, message)
         if isinstance(message, dm.Relayed):
-            message = words.decode(message.body)
+            message = codec.decode(message.body)
         match message:
             case gm.Append():
                 self._append(sender, message)
--- a/otterquay/lab/fleetsim/draw.py
+++ b/otterquay/lab/fleetsim/draw.py
@@ -152,7 +152,7 @@
         self._down(self._who(lambda n: n.member and n.member.role.value == "leader")[:1], lasts)
 
     def _kill_owner(self, lasts: float) -> None:
-        self._down([self.rng.choice(self._who(lambda n: bool(n.held)))], lasts)
+        self._down([self.rng.choice(self._who(lambda n: bool(n.owned)))], lasts)
 
     def _kill_coordinator(self, lasts: float) -> None:
         self._down([self.rng.choice(self._who(lambda n: n.site.role.value == "coordinator"))], lasts)
@@ -170,7 +170,7 @@
         self._still(self.rng.choice(self.agents), lasts)
 
     def _stall_owner(self, lasts: float) -> None:
-        self._still(self.rng.choice(self._who(lambda n: bool(n.held))), lasts)
+        self._still(self.rng.choice(self._who(lambda n: bool(n.owned))), lasts)
 
     def _stall_coordinator(self, lasts: float) -> None:
         self._still(self.rng.choice(self._who(lambda n: n.site.role.value == "coordinator")), lasts)
@@ -190,7 +190,7 @@
         self._cut(pairs if self.rng.random() < 0.5 else [(b, a) for a, b in pairs], lasts)
 
     def _site(self) -> tuple[list[int], list[int]]:
-        name = self.rng.choice(self.plan.names())
+        name = self.rng.choice(self.plan.site_names())
         inside = list(self.plan.agents_of(name))
         return inside, [a for a in self.agents if a not in inside]
 
@@ -330,8 +330,8 @@
         self._cut([(one, YARD), (YARD, one)], lasts + 4 * OWES_S)
 
     def _gray_owner(self, lasts: float) -> None:
-        self._gray(self.rng.choice(self._who(lambda n: bool(n.work))), lasts)
-        self.sim.yard.end(self.rng.choice(self.plan.names()), "a", 2)
+        self._gray(self.rng.choice(self._who(lambda n: bool(n.reconciler))), lasts)
+        self.sim.yard.end(self.rng.choice(self.plan.site_names()), "a", 2)
 
     def _gray_agent(self, lasts: float) -> None:
         self._gray(self.rng.choice(self.agents), lasts)
@@ -362,7 +362,7 @@
 
     def _servers_end(self, lasts: float) -> None:
         kind = self.rng.choice(["a", "b", "c"])
-        self.sim.yard.end(self.rng.choice(self.plan.names()), kind, self.rng.randint(1, 3))
+        self.sim.yard.end(self.rng.choice(self.plan.site_names()), kind, self.rng.randint(1, 3))
 
 
 def play(
@@ -375,7 +375,7 @@
     """One drawn day; `alter` takes a guard out before it begins. With `owes` the fleet has posts."""
     rng = random.Random(seed)
     plan = plan_of(rng)
-    sim = Sim(replace(plan, pace=replace(plan.pace, owes=owes)), seed)
+    sim = Sim(replace(plan, intervals=replace(plan.intervals, owes=owes)), seed)
     alter(sim)
     day = Day(seed)
     drawn = Drawn(sim, rng)
@@ -387,7 +387,7 @@
         day.faults.append(name)
         drawn.begin(name)
         if rng.random() < 0.5:
-            sim.yard.end(rng.choice(sim.plan.names()), rng.choice(["a", "b", "c"]), 1)
+            sim.yard.end(rng.choice(sim.plan.site_names()), rng.choice(["a", "b", "c"]), 1)
         sim.run(sim.now + rng.choice([0.05, 0.5, 2.0, 6.0, 12.0]))
     sim.run(sim.now + rng.uniform(0.0, 6.0))
     drawn.heal()
--- a/otterquay/lab/fleetsim/explore.py
+++ b/otterquay/lab/fleetsim/explore.py
@@ -26,7 +26,7 @@
 from otterquay.group.parts import TERM, Role
 from otterquay.sites import messages as sm
 from otterquay.sites.journal import Journal
-from otterquay.sites.site import SITE, STATE, Kept, Site
+from otterquay.sites.site import SITE, STATE, Site, StoredState
 from otterquay.sites.site import Role as SiteRole
 
 NOW = 1e6
@@ -227,9 +227,9 @@
 
 # --- a site ---
 def _site(me: int, disk: Disk) -> Site:
-    kept = disk.get((SITE, STATE), msgspec.msgpack.encode(Kept(newest=Token(4), allowed=2)))
+    kept = disk.get((SITE, STATE), msgspec.msgpack.encode(StoredState(newest=Token(4), allowed=2)))
     site = Site.load(me, AGENTS, CHANCE, kept, Journal(), NOW, life=1 << 20, times=_TIMES, back_votes=1, out=Out())
-    site.heard_at = site.followed_at = -1e9
+    site.group_heard_at = site.followed_at = -1e9
     return site
 
 
@@ -239,8 +239,8 @@
         site.token,
         sorted(site.votes),
         sorted(site.acked),
-        site.kept.spent,
-        msgspec.msgpack.encode(site.kept),
+        site.stored.spent,
+        msgspec.msgpack.encode(site.stored),
     )
 
 
@@ -255,14 +255,18 @@
         site = world.agents[agent]
         do(site, out)
         site.followed_at = -1e9
-        site.lead_at = site.word_at = 0.0
+        site.next_lead_at = site.next_word_at = 0.0
         world.carry(agent, out, synced)
         if site.role is SiteRole.COORDINATOR:
             world.led |= {(site.token, agent)}
         return world
 
     return lambda world: _next(
-        world, act, _site, lambda s: s.role is not SiteRole.COORDINATOR, lambda s, o: s._stand(NOW, False, o)
+        world,
+        act,
+        _site,
+        lambda s: s.role is not SiteRole.COORDINATOR,
+        lambda s, o: s._start_election(NOW, False, o),
     )
 
 
--- a/otterquay/lab/fleetsim/judge.py
+++ b/otterquay/lab/fleetsim/judge.py
@@ -14,7 +14,7 @@
 from otterquay.duties.spread.book import Assign, Looked
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
-from otterquay.fleet import words
+from otterquay.fleet import codec
 from otterquay.lab.fleetsim.reads import Reads
 from otterquay.runtimes import rows as rw
 from otterquay.sites import messages as sm
@@ -68,12 +68,12 @@
             self.notes.append(f"{what}: {text}")
 
     # --- the wires ---
-    def crossed(self, at: float, sender: int, to: int, message: words.Message) -> None:
+    def crossed(self, at: float, sender: int, to: int, message: codec.Message) -> None:
         """A message reached its receiver."""
         match message:
             case dm.Relayed():
                 if message.to == to:
-                    self.crossed(at, message.origin, to, words.decode(message.body))
+                    self.crossed(at, message.origin, to, codec.decode(message.body))
             case dm.Propose():
                 p = message.proposal
                 self.asked[p.agent, p.life, p.number] = p.command
@@ -97,7 +97,7 @@
             if first != agent:
                 self.fault("two_owners", f"{at:.2f}: {report.post} {report.token}: {first}, {agent}")
 
-    def left(self, at: float, agent: int, message: words.Message, awake_since: float) -> None:
+    def left(self, at: float, agent: int, message: codec.Message, awake_since: float) -> None:
         """A message leaves a process that has been awake since then: what it tells of its posts, it must hold."""
         self.reads.left(at, agent, message)
         if not isinstance(message, dm.Propose) or not isinstance(message.proposal.command, Looked):
@@ -168,7 +168,7 @@
         for key, row in told:
             if key.agent != sender:
                 continue
-            seen = sum(row.exact.values()) + sum(row.most.values()) + sum(row.least.values())
+            seen = sum(row.exact.values()) + sum(row.at_most.values()) + sum(row.at_least.values())
             for version, count in self.rows.get(key, ()):
                 if (version == row.version) != (count == seen) or (version < row.version) != (count < seen):
                     self.fault(
--- a/otterquay/lab/fleetsim/mutants.py
+++ b/otterquay/lab/fleetsim/mutants.py
@@ -12,8 +12,8 @@
 from otterquay.duties.errand import Errand
 from otterquay.duties.lease import Book
 from otterquay.duties.state import Duties
-from otterquay.fleet.coordinating import HandingBack
-from otterquay.fleet.sitework import SiteWork
+from otterquay.fleet.site_coordinator import JournalHandover
+from otterquay.fleet.site_reconciler import SiteReconciler
 from otterquay.group.joining import Joining
 from otterquay.group.member import Member
 from otterquay.lab.fleetsim.world import Sim
@@ -62,12 +62,12 @@
     return _overdue(self, now, -1e9, duties)
 
 
-def _sent_first(self: SiteWork, now: float, name: str, kind: str, count: int, out: Out) -> None:
+def _sent_first(self: SiteReconciler, now: float, name: str, kind: str, count: int, out: Out) -> None:
     self.errands[name] = Errand(self.site, name, kind, count, self.token)
-    _write(self, now, name, kind, count, out)
+    _propose_order(self, now, name, kind, count, out)
 
 
-_write = SiteWork._write
+_propose_order = SiteReconciler._propose_order
 
 
 def _orders_alone(self: Duties) -> int:
@@ -87,12 +87,12 @@
     return done
 
 
-def _goes_on(self: HandingBack, now: float, out: Out) -> None:
+def _goes_on(self: JournalHandover, now: float, out: Out) -> None:
     """Hands over while it still acts."""
-    if self.busy or self.site.lost(now):
+    if self.busy or self.site.group_lost(now):
         return
     for token in sorted(self.site.journal.acts):
-        return self._hand(now, token, self.site.journal.pieces(token), out)
+        return self._send_pieces(now, token, self.site.journal.pieces(token), out)
 
 
 _stop = Site.stop
@@ -105,7 +105,7 @@
 
 @contextlib.contextmanager
 def _acts_on() -> Iterator[None]:
-    with mock.patch.object(HandingBack, "step", _goes_on), mock.patch.object(Site, "stop", _never_stops):
+    with mock.patch.object(JournalHandover, "step", _goes_on), mock.patch.object(Site, "stop", _never_stops):
         yield
 
 
@@ -130,7 +130,7 @@
 
 def _trusting(cls: Any, *args: Any) -> Site:
     site: Site = _load(cls, *args)
-    site.kept.barred = -1
+    site.stored.barred_until = -1
     return site
 
 
@@ -139,12 +139,12 @@
     """An agent with an empty or older disk votes in its site as if it had promised nothing."""
     with (
         mock.patch.object(Site, "load", classmethod(_trusting)),
-        mock.patch.object(Site, "forgot", lambda self, now, out: None),
+        mock.patch.object(Site, "bar_votes", lambda self, now, out: None),
     ):
         yield
 
 
-def _no_settlement(self: SiteWork, now: float, beat: Any, out: Out) -> None:
+def _no_settlement(self: SiteReconciler, now: float, beat: Any, out: Out) -> None:
     self.phase = "run"
 
 
@@ -169,7 +169,7 @@
     ),
     "order sent before it is written": (
         _nothing,
-        patch(SiteWork, "_write", _sent_first),
+        patch(SiteReconciler, "_propose_order", _sent_first),
         ("orders_lost", "over_allowance"),
     ),
     "allowance not held apart": (_nothing, patch(Duties, "taken", _orders_alone), ("over_allowance",)),
@@ -203,7 +203,7 @@
     "orders known by no id at the yard": (_forgetful, _none, ("orders_repeated", "acts_twice", "over_allowance")),
     "no settlement with the yard's list": (
         _nothing,
-        patch(SiteWork, "_found", _no_settlement),
+        patch(SiteReconciler, "_found", _no_settlement),
         ("acts_lost", "over_allowance"),
     ),
     "a journal taken again each time it is told": (
--- a/otterquay/lab/fleetsim/spread_mutants.py
+++ b/otterquay/lab/fleetsim/spread_mutants.py
@@ -14,7 +14,7 @@
 from otterquay.duties.spread.chief import Chief
 from otterquay.duties.spread.holder import Holder
 from otterquay.duties.token import Token
-from otterquay.fleet.leader import Desk
+from otterquay.fleet.leader import LeaderService
 from otterquay.group.member import Member
 from otterquay.group.parts import Role
 from otterquay.lab.fleetsim.mutants import patch
@@ -68,7 +68,7 @@
     return True
 
 
-_books = Desk.books
+_books = LeaderService.books
 
 
 @contextlib.contextmanager
@@ -76,7 +76,7 @@
     """Books of up to five seconds ago, as from a copy that lags."""
     kept: dict[tuple[int, str], tuple[float, Any]] = {}
 
-    def books(self: Desk, site: str, number: int) -> Any:
+    def books(self: LeaderService, site: str, number: int) -> Any:
         now = self.member.beat_at
         at, found = kept.get((id(self), site), (-1e9, None))
         if now - at > 5.0:
@@ -84,7 +84,7 @@
             kept[id(self), site] = now, found
         return msgspec.structs.replace(found, number=number)
 
-    with mock.patch.object(Desk, "books", books):
+    with mock.patch.object(LeaderService, "books", books):
         yield
 
 
--- a/otterquay/lab/fleetsim/spread_size.py
+++ b/otterquay/lab/fleetsim/spread_size.py
@@ -9,7 +9,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from otterquay.fleet.plan import Pace, Plan
+from otterquay.fleet.plan import Intervals, Plan
 from otterquay.lab.fleetsim.world import Sim
 
 OWES_S = 8.0
@@ -41,7 +41,7 @@
         self.where = {n: f"s{n % sites}" for n in range(agents)}
         self.members = tuple(range(5))
         wants = {f"s{i}": {f"k{j}": 1 for j in range(kinds)} for i in range(sites)}
-        plan = Plan(0, self.members, self.where, 2 * sites * kinds, 1, wants, pace=Pace(owes=OWES_S))
+        plan = Plan(0, self.members, self.where, 2 * sites * kinds, 1, wants, intervals=Intervals(owes=OWES_S))
         self.sim = Sim(plan, seed)
         self.sim.most = 10**9
         self.rng = random.Random(seed)
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -11,7 +11,7 @@
 from otterquay.cores.out import Out
 from otterquay.duties.errand import Answer, Request
 from otterquay.duties.token import NONE, site_of
-from otterquay.fleet import words
+from otterquay.fleet import codec
 from otterquay.fleet.node import Node
 from otterquay.fleet.plan import Plan
 from otterquay.lab.fleetsim.judge import Judge
@@ -153,7 +153,7 @@
         """SIGTERM: it hands over what it owns; whoever sent it ends it later."""
         host = self.hosts[number]
         if host.node is not None:
-            self._step(host, host.node.leave(self.now))
+            self._step(host, host.node.shut_down(self.now))
 
     def stall(self, number: int, on: bool) -> None:
         """SIGSTOP and SIGCONT."""
@@ -247,17 +247,17 @@
         for call in out.calls:
             self._call(host, call.tag, call.request, made)
         if out.lasting and host.node is not None:
-            self._step(host, host.node.lasts(self.now, out))
+            self._step(host, host.node.writes_durable(self.now, out))
 
     def _delay(self, pair: tuple[int, int]) -> float:
         return self.links.slow.get(pair, self.links.delay) + self.rng.random() * self.links.jitter
 
-    def _send(self, sender: int, to: int, message: words.Message, made: float) -> None:
+    def _send(self, sender: int, to: int, message: codec.Message, made: float) -> None:
         if to not in self.hosts:
             return
         self.messages[type(message).__name__] += 1
         self.judge.left(made, sender, message, self.hosts[sender].awake_since)
-        data = words.encode(message)
+        data = codec.encode(message)
         pair = (sender, to)
         if sender == to:
             self.at(self.now, self._arrive(sender, to, data))
@@ -276,7 +276,7 @@
 
         def take() -> None:
             assert host.node is not None
-            message = words.decode(data)
+            message = codec.decode(data)
             self.judge.crossed(self.now, sender, to, message)
             self._step(host, host.node.receive(self.now, sender, message))
 
@@ -315,7 +315,7 @@
             if (
                 node
                 and not host.stalled
-                and node.desk
+                and node.leader_service
                 and node.member
                 and node.member.confirmed(self.now)
                 and (node.member.led_at)
@@ -333,11 +333,11 @@
         whole = leader.duties.whole
         for name, duty in whole.duties.items():  # an owner that has gone is not at rest before its lease is
             owner = self.hosts[duty.owner].node if duty.owner is not None else None
-            if owner is None or name not in owner.held:
+            if owner is None or name not in owner.owned:
                 return False
-            if site_of(name) and (owner.work is None or owner.work.phase != "run"):
+            if site_of(name) and (owner.reconciler is None or owner.reconciler.phase != "run"):
                 return False  # it has not settled with the yard yet
-        if self.plan.pace.owes and not self._posted(leader):
+        if self.plan.intervals.owes and not self._posted(leader):
             return False
         return all(
             leader.duties.alive(site, kind) >= count or whole.bound <= leader.duties.taken()
@@ -347,8 +347,8 @@
 
     def _posted(self, leader: Node) -> bool:
         """Whether each post is held by the agent that the group says, and has been told of."""
-        assert leader.desk is not None
-        for name in leader.desk.wanted():
+        assert leader.leader_service is not None
+        for name in leader.leader_service.wanted_posts():
             post = leader.duties.whole.spread.posts.get(name)
             holder = self.hosts[post.owner].node if post is not None and post.owner is not None else None
             if holder is None or post is None or not post.told:
--- a/otterquay/lab/runtimes.py
+++ b/otterquay/lab/runtimes.py
@@ -77,10 +77,10 @@
                         late = cut_at is not None and y > truth[cls, kind] + math.log(cut_at)
                         if late and cut_at is not None:
                             y = truth[cls, kind] + math.log(cut_at)
-                        fleet.rows.note(key, math.exp(y), alone=True, late=late)
+                        fleet.rows.record(key, math.exp(y), alone=True, late=late)
                     if rng.random() < 0.5:  # queued: at most so long
                         waited = truth[cls, kind] + rng.uniform(0.5, 2)
-                        fleet.rows.note(key, math.exp(waited), alone=False, late=False)
+                        fleet.rows.record(key, math.exp(waited), alone=False, late=False)
     for agent in range(agents - liars, agents):
         for key, row in list(fleet.rows.rows.items()):
             if key.agent == agent:
@@ -109,8 +109,8 @@
         return sum(seen(cls, k) for k in fleet.seen) / len(fleet.seen)
 
     def nearest(cls: str, kind: str) -> float:
-        clock = fleet.machines[kind].figures[1] or 0.0
-        return seen(cls, min(fleet.seen, key=lambda k: abs((fleet.machines[k].figures[1] or 0.0) - clock)))
+        clock = fleet.machines[kind].specs[1] or 0.0
+        return seen(cls, min(fleet.seen, key=lambda k: abs((fleet.machines[k].specs[1] or 0.0) - clock)))
 
     def last(cls: str, kind: str) -> float:
         return seen(cls, fleet.order[-1])
--- a/otterquay/runtimes/demand.py
+++ b/otterquay/runtimes/demand.py
@@ -18,7 +18,7 @@
     rates: dict[str, float] = field(default_factory=dict)
     told: dict[int, tuple[float, dict[str, float]]] = field(default_factory=dict)
 
-    def note(self, cls: str) -> None:
+    def record(self, cls: str) -> None:
         """One more."""
         if cls in self.counts or len(self.counts) < CLASSES_MOST:
             self.counts[cls] = self.counts.get(cls, 0) + 1
--- a/otterquay/runtimes/shared.py
+++ b/otterquay/runtimes/evidence.py
@@ -25,7 +25,7 @@
     changed: dict[str, float]
 
 
-class Shared:
+class SharedEvidence:
     """Rows of all agents, each at its newest version; our own among them. Times are seconds of our own clock."""
 
     def __init__(self, me: int, life: int, machines: Mapping[str, Machine]) -> None:
@@ -52,19 +52,19 @@
         """This agent goes on under another life; what it noted stays under the one it was noted in."""
         self.life = life
 
-    def note(
+    def record(
         self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool, late: bool
     ) -> None:
         """An attempt of our own has ended."""
         key = rw.Key(self.me, self.life, self.evidence.newest, cls, kind, server, build)
-        self.evidence.note(key, ms, alone, late)
+        self.evidence.record(key, ms, alone, late)
 
     def rows(self) -> bytes:
         """Our rows that have changed since they were last sent, oldest first; empty for none."""
         mine = [(k, r) for k, r in self.evidence.of(self.me) if self._sent.get(k, 0) < r.version][:SENT_MOST]
         for key, row in mine:
             self._sent[key] = row.version
-        if len(self._sent) > 2 * rw.ROWS_MOST:
+        if len(self._sent) > 2 * rw.MAX_ROWS:
             self._sent = {k: v for k, v in self._sent.items() if k in self.evidence.rows}
         return rw.encode(mine) if mine else b""
 
--- a/otterquay/runtimes/machine.py
+++ b/otterquay/runtimes/machine.py
@@ -11,7 +11,7 @@
     """What is known of a kind beforehand; all may be missing."""
 
     family: str = ""
-    figures: tuple[float | None, ...] = (None, None, None)
+    specs: tuple[float | None, ...] = (None, None, None)
 
 
 @dataclass(frozen=True, slots=True)
--- a/otterquay/runtimes/model.py
+++ b/otterquay/runtimes/model.py
@@ -72,7 +72,7 @@
         for at, count in row.exact.items():
             bins[at] = bins.get(at, 0.0) + weight * min(count, 1000)
         # what was given up ran at least so long: it stands at the far end, where it moves the median as it must
-        for _, count in row.least.items():
+        for _, count in row.at_least.items():
             bins[BINS - 1] = bins.get(BINS - 1, 0.0) + weight * min(count, 1000)
     found = []
     for spot, agents in sorted(by_agent.items()):
@@ -120,7 +120,7 @@
     def _figures(self, kind: str) -> list[float]:
         """Logs of the figures, less the mean; what is missing counts as the mean."""
         machine = self.machines.get(kind, Machine())
-        return [math.log(f) - m if f else 0.0 for f, m in zip(machine.figures, self._mean, strict=True)]
+        return [math.log(f) - m if f else 0.0 for f, m in zip(machine.specs, self._mean, strict=True)]
 
     def _family(self, kind: str) -> str:
         return self.machines.get(kind, Machine()).family
@@ -151,7 +151,7 @@
         self.kinds = sorted({c.kind for c in found})
         self.families = sorted({self._family(k) for k in self.kinds} - {""})
         for i in range(3):
-            known = [math.log(f) for k in self.kinds if (f := self.machines.get(k, Machine()).figures[i])]
+            known = [math.log(f) for k in self.kinds if (f := self.machines.get(k, Machine()).specs[i])]
             self._mean[i] = sum(known) / len(known) if known else 0.0
         common = Counter(c.build for c in found)
         self.reference = min(common, key=lambda b: (-common[b], b))
--- a/otterquay/runtimes/rows.py
+++ b/otterquay/runtimes/rows.py
@@ -19,7 +19,7 @@
 
 BINS, STEP, LEAST_MS = 96, 0.125, 1.0  # from 1 ms on, each bin 13% longer: up to 160 s
 EPOCHS = 8  # kept; older ones count for nothing
-ROWS_MOST = 20_000
+MAX_ROWS = 20_000
 Bin = Annotated[int, Meta(ge=0, lt=BINS)]
 Count = Annotated[int, Meta(ge=0, le=2**32)]
 Word = Annotated[str, Meta(min_length=1, max_length=32)]
@@ -42,8 +42,8 @@
 
     version: Number = 0
     exact: dict[Bin, Count] = {}
-    most: dict[Bin, Count] = {}
-    least: dict[Bin, Count] = {}
+    at_most: dict[Bin, Count] = {}
+    at_least: dict[Bin, Count] = {}
 
 
 def bin_of(ms: float) -> int:
@@ -64,12 +64,12 @@
         self.newest = 0  # epoch
         self.changes = 0  # how often anything was noted, taken or dropped
 
-    def note(self, key: Key, ms: float, alone: bool, late: bool) -> None:
+    def record(self, key: Key, ms: float, alone: bool, late: bool) -> None:
         """One more attempt of our own."""
-        if key not in self.rows and len(self.rows) >= ROWS_MOST:
+        if key not in self.rows and len(self.rows) >= MAX_ROWS:
             return
         row = self.rows.setdefault(key, Row())
-        bins = row.least if late else row.exact if alone else row.most
+        bins = row.at_least if late else row.exact if alone else row.at_most
         at = bin_of(ms)
         bins[at] = bins.get(at, 0) + 1
         row.version += 1
@@ -85,7 +85,7 @@
             if (
                 (held is None or row.version > held.version)
                 and key.epoch > self.newest - EPOCHS
-                and (held is not None or len(self.rows) < ROWS_MOST)
+                and (held is not None or len(self.rows) < MAX_ROWS)
             ):
                 self.rows[key] = row
                 taken += 1
--- a/otterquay/sites/site.py
+++ b/otterquay/sites/site.py
@@ -49,7 +49,7 @@
     COORDINATOR = "coordinator"
 
 
-class Kept(msgspec.Struct, array_like=True):
+class StoredState(msgspec.Struct, array_like=True):
     """What the disk has: no newer token than `newest` was promised to anyone but `voted`."""
 
     newest: Token = NONE
@@ -59,7 +59,7 @@
     spent: int = 0
     caps: dict[int, float] = {}
     lives: dict[int, int] = {}  # the newest start that each other agent was heard in
-    barred: int = -1  # no vote before a settlement later than this grant: what was promised went with a disk
+    barred_until: int = -1  # no vote before a settlement later than this grant: what was promised went with a disk
 
 
 @dataclass(slots=True)
@@ -78,20 +78,20 @@
     me: int
     agents: Sequence[int]
     rng: random.Random
-    kept: Kept
+    stored: StoredState
     journal: Journal
     times: Times = field(default_factory=Times)
     back_votes: int = 1
     life: int = 1
     role: Role = Role.NONE
     token: Token = NONE  # of the role
-    heard_at: float = -1e9  # of the group
+    group_heard_at: float = -1e9  # of the group
     back_since: float | None = None
     followed_at: float = -1e9  # of a coordinator
     following: Token = NONE
     elect_at: float = 0.0
-    word_at: float = 0.0
-    lead_at: float = 0.0
+    next_word_at: float = 0.0
+    next_lead_at: float = 0.0
     votes: dict[int, ms.Answer] = field(default_factory=dict)
     acked: dict[int, tuple[int, float]] = field(default_factory=dict)  # newest beat and when, by agent
     others: dict[int, float] = field(default_factory=dict)  # when each other agent last heard the group, our clock
@@ -108,7 +108,7 @@
         me: int,
         agents: Sequence[int],
         rng: random.Random,
-        kept: bytes | None,
+        stored: bytes | None,
         journal: Journal,
         now: float,
         times: Times,
@@ -117,16 +117,20 @@
         out: Out,
     ) -> Site:
         """With what the disk holds. msgspec.MsgspecError: it cannot be right."""
-        state: Kept = msgspec.msgpack.decode(kept, type=Kept) if kept is not None else Kept(barred=UNKNOWN)
+        state: StoredState = (
+            msgspec.msgpack.decode(stored, type=StoredState)
+            if stored is not None
+            else StoredState(barred_until=UNKNOWN)
+        )
         site = cls(me, agents, rng, state, journal, times, back_votes, life)
-        if kept is None:  # an empty disk may have promised anything
+        if stored is None:  # an empty disk may have promised anything
             site._keep(out)
-        site.heard_at = site.followed_at = now  # nothing was lost yet that this start could know of
+        site.group_heard_at = site.followed_at = now  # nothing was lost yet that this start could know of
         site._wait(now)
         return site
 
     def _keep(self, out: Out) -> None:
-        out.write(SITE, STATE, msgspec.msgpack.encode(self.kept))
+        out.write(SITE, STATE, msgspec.msgpack.encode(self.stored))
 
     def _wait(self, now: float) -> None:
         self.elect_at = now + self.times.lost * (0.25 + 0.75 * self.rng.random())
@@ -141,35 +145,40 @@
         """Whether this agent coordinates and a majority has written that down."""
         return self.role is Role.COORDINATOR and 1 + len(self.acked) >= self.majority
 
-    def lost(self, now: float) -> bool:
+    def group_lost(self, now: float) -> bool:
         """Whether the group has not been heard for so long, by any way."""
-        return now - self.heard_at > self.times.lost
+        return now - self.group_heard_at > self.times.lost
 
     def due(self) -> float:
         """When `tick` has something to do."""
-        return min(self.word_at, self.lead_at if self.role is Role.COORDINATOR else self.elect_at)
+        return min(self.next_word_at, self.next_lead_at if self.role is Role.COORDINATOR else self.elect_at)
 
     # --- the group ---
     def upstream(
         self, now: float, newest: Token, allowed: int, settled: int, floor: Token, closed: Sequence[Token], out: Out
     ) -> None:
         """The group was heard, directly or through another: its newest grant for this site, and journals it has."""
-        if self.lost(now) or self.back_since is None:
+        if self.group_lost(now) or self.back_since is None:
             self.back_since = now
-        kept = self.kept
-        self.heard_at = now
-        followed = [t for t in kept.followed if t > floor and t not in closed]
-        if 0 <= kept.barred < floor.group:  # all that was promised before is settled with the group
-            kept.barred = -1
+        stored = self.stored
+        self.group_heard_at = now
+        followed = [t for t in stored.followed if t > floor and t not in closed]
+        if 0 <= stored.barred_until < floor.group:  # all that was promised before is settled with the group
+            stored.barred_until = -1
             self._keep(out)
-        if newest > kept.newest or allowed > kept.allowed or settled > kept.spent or followed != kept.followed:
-            if newest > kept.newest:
-                kept.newest, kept.voted = newest, None
-            kept.allowed, kept.followed = max(kept.allowed, allowed), followed
-            kept.spent = max(kept.spent, settled)
+        if (
+            newest > stored.newest
+            or allowed > stored.allowed
+            or settled > stored.spent
+            or followed != stored.followed
+        ):
+            if newest > stored.newest:
+                stored.newest, stored.voted = newest, None
+            stored.allowed, stored.followed = max(stored.allowed, allowed), followed
+            stored.spent = max(stored.spent, settled)
             self._keep(out)
-        if self.following == NONE and kept.caps:  # what held in the site alone ends with the cut
-            kept.caps = {}
+        if self.following == NONE and stored.caps:  # what held in the site alone ends with the cut
+            stored.caps = {}
             self._keep(out)
         if self.role is Role.COORDINATOR and (now - self.back_since >= self.times.back or newest > self.token):
             self.stop(now, "the group is back", out)
@@ -178,8 +187,8 @@
 
     def joined(self, known: bool, newest: Token, out: Out) -> None:
         """The group's word on an empty or older disk: one that was never here has promised nothing."""
-        if self.kept.barred == UNKNOWN:
-            self.kept.barred = newest.group if known else -1
+        if self.stored.barred_until == UNKNOWN:
+            self.stored.barred_until = newest.group if known else -1
             self._keep(out)
 
     def _rest(self, now: float) -> None:
@@ -204,13 +213,13 @@
     # --- time ---
     def tick(self, now: float, out: Out) -> None:
         """Time has passed."""
-        if now >= self.word_at:
-            self.word_at = now + self.times.word
+        if now >= self.next_word_at:
+            self.next_word_at = now + self.times.word
             others = [a for a in self.agents if a != self.me]
             for _ in range(min(WORDS, len(others))):  # in turn, so that a large site costs no agent more
                 self.turn = (self.turn + 1) % len(others)
-                out.send(others[self.turn], ms.Word(min(max(now - self.heard_at, 0.0), 1e9), self.life))
-        if self.lost(now):
+                out.send(others[self.turn], ms.Word(min(max(now - self.group_heard_at, 0.0), 1e9), self.life))
+        if self.group_lost(now):
             self.back_since = None
         if self.role is not Role.COORDINATOR and now - self.followed_at > self.times.lease:
             self.following = NONE
@@ -218,16 +227,16 @@
             fresh = 1 + sum(now - at <= self.times.lease for _, at in self.acked.values())
             if fresh < self.majority and now - self.followed_at > self.times.lease:
                 return self.stop(now, "no majority of the site answers", out)
-            if now >= self.lead_at:
+            if now >= self.next_lead_at:
                 self._beat(now, out)
         elif now >= self.elect_at:
-            if self._may_vote(now) and self.kept.barred < 0:
-                self._stand(now, True, out)
+            if self._may_vote(now) and self.stored.barred_until < 0:
+                self._start_election(now, True, out)
             else:
                 self._wait(now)
 
     def _may_vote(self, now: float) -> bool:
-        return self.lost(now) and now - self.followed_at > self.times.lease
+        return self.group_lost(now) and now - self.followed_at > self.times.lease
 
     def receive(self, now: float, sender: int, message: ms.Message, out: Out) -> None:
         """A message of another agent of the site."""
@@ -238,7 +247,7 @@
         match message:
             case ms.Older():
                 if message.life != self.life and not later(self.life, message.life):
-                    self.forgot(now, out)
+                    self.bar_votes(now, out)
             case ms.Word():
                 self.others[sender] = now - message.heard
             case ms.Ask():
@@ -258,35 +267,37 @@
         """Whether an agent speaks from the newest start that it was heard in; an older disk has forgotten
         promises.
         """
-        known = self.kept.lives.get(sender, 0)
+        known = self.stored.lives.get(sender, 0)
         if later(life, known):
-            self.kept.lives[sender] = life
+            self.stored.lives[sender] = life
             self._keep(out)
         elif life != known:
             out.send(sender, ms.Older(known))
             return False
         return True
 
-    def forgot(self, now: float, out: Out) -> None:
+    def bar_votes(self, now: float, out: Out) -> None:
         """What this disk has promised is not known: no vote until it is settled with the group."""
         if self.role is Role.COORDINATOR:
             self.stop(now, "this disk is an older copy", out)
         self._rest(now)
-        if self.kept.barred < 0:
+        if self.stored.barred_until < 0:
             out.say("site_votes_barred", life=self.life)
-            self.kept.barred = UNKNOWN
+            self.stored.barred_until = UNKNOWN
             self._keep(out)
 
     # --- elections ---
-    def _stand(self, now: float, pre: bool, out: Out) -> None:
-        kept = self.kept
+    def _start_election(self, now: float, pre: bool, out: Out) -> None:
+        stored = self.stored
         self.role = Role.ASKING if pre else Role.STANDING
-        self.token = Token(kept.newest.group, kept.newest.term + 1)
+        self.token = Token(stored.newest.group, stored.newest.term + 1)
         if not pre:
-            kept.newest, kept.voted = self.token, self.me
+            stored.newest, stored.voted = self.token, self.me
             self._keep(out)
         self._wait(now)
-        mine = ms.Answer(self.token, pre, True, self.token, kept.allowed, kept.spent, dict(kept.caps), self.life)
+        mine = ms.Answer(
+            self.token, pre, True, self.token, stored.allowed, stored.spent, dict(stored.caps), self.life
+        )
         self.votes = {self.me: mine}
         for agent in self.agents:
             if agent != self.me:
@@ -295,28 +306,37 @@
             self._won(now, pre, out)
 
     def _asked(self, now: float, sender: int, ask: ms.Ask, out: Out) -> None:
-        kept = self.kept
+        stored = self.stored
         granted = (
-            kept.barred < 0
+            stored.barred_until < 0
             and self._may_vote(now)
             and self.role is not Role.COORDINATOR
-            and (ask.token > kept.newest or (not ask.pre and ask.token == kept.newest and kept.voted == sender))
+            and (
+                ask.token > stored.newest or (not ask.pre and ask.token == stored.newest and stored.voted == sender)
+            )
         )
         if granted and not ask.pre:
-            if ask.token > kept.newest:
-                kept.newest, kept.voted = ask.token, sender
+            if ask.token > stored.newest:
+                stored.newest, stored.voted = ask.token, sender
                 self._keep(out)
             self._rest(now)
         out.send(
             sender,
             ms.Answer(
-                ask.token, ask.pre, granted, kept.newest, kept.allowed, kept.spent, dict(kept.caps), self.life
+                ask.token,
+                ask.pre,
+                granted,
+                stored.newest,
+                stored.allowed,
+                stored.spent,
+                dict(stored.caps),
+                self.life,
             ),
         )
 
     def _answered(self, now: float, sender: int, answer: ms.Answer, out: Out) -> None:
-        if answer.newest > self.kept.newest and not answer.granted:
-            self.kept.newest, self.kept.voted = answer.newest, None  # the next try is above it
+        if answer.newest > self.stored.newest and not answer.granted:
+            self.stored.newest, self.stored.voted = answer.newest, None  # the next try is above it
             self._keep(out)
         if answer.token != self.token or not answer.granted:
             return
@@ -327,10 +347,10 @@
 
     def _won(self, now: float, pre: bool, out: Out) -> None:
         if pre:
-            return self._stand(now, False, out)
-        kept = self.kept
-        kept.allowed = max(v.allowed for v in self.votes.values())
-        kept.spent = max(v.spent for v in self.votes.values())
+            return self._start_election(now, False, out)
+        stored = self.stored
+        stored.allowed = max(v.allowed for v in self.votes.values())
+        stored.spent = max(v.spent for v in self.votes.values())
         for vote in self.votes.values():
             self._lower(vote.caps)
         self.role, self.elections = Role.COORDINATOR, self.elections + 1
@@ -339,26 +359,26 @@
         self._keep(out)
         self.acked.clear()
         self.following, self.followed_at = self.token, now
-        out.say("coordinates", token=str(self.token), allowed=kept.allowed, spent=kept.spent)
+        out.say("coordinates", token=str(self.token), allowed=stored.allowed, spent=stored.spent)
         self._beat(now, out)
 
     def _note(self, token: Token) -> None:
-        if token not in self.kept.followed:
-            self.kept.followed = [*self.kept.followed[-FOLLOWED_MOST:], token]
+        if token not in self.stored.followed:
+            self.stored.followed = [*self.stored.followed[-FOLLOWED_MOST:], token]
 
     def _lower(self, caps: dict[int, float]) -> None:
         for build, cap in caps.items():
-            self.kept.caps[build] = min(cap, self.kept.caps.get(build, 1.0))
-        while len(self.kept.caps) > 256:
-            del self.kept.caps[min(self.kept.caps)]
+            self.stored.caps[build] = min(cap, self.stored.caps.get(build, 1.0))
+        while len(self.stored.caps) > 256:
+            del self.stored.caps[min(self.stored.caps)]
 
     # --- the coordinator ---
     def _beat(self, now: float, out: Out) -> None:
-        self.lead_at = now + self.times.lead
+        self.next_lead_at = now + self.times.lead
         self.number += 1
         for agent in self.agents:
             if agent != self.me:
-                out.send(agent, ms.Lead(self.token, self.number, self.kept.spent, dict(self.kept.caps)))
+                out.send(agent, ms.Lead(self.token, self.number, self.stored.spent, dict(self.stored.caps)))
         if self.majority == 1:
             self._reserved(out)
 
@@ -381,13 +401,13 @@
 
     def order(self, now: float, kind: str, count: int, out: Out) -> bool:
         """Order servers for the site out of what was handed to it; False where there is not so much left."""
-        kept = self.kept
-        if not self.acting or count <= 0 or kept.spent + count > kept.allowed or self.journal.full(self.token):
+        stored = self.stored
+        if not self.acting or count <= 0 or stored.spent + count > stored.allowed or self.journal.full(self.token):
             return False
         name = f"{self.token}-{len(self.journal.acts.get(self.token, {}))}-{self.me}"
         act = Act(name, "order", kind, count)
         entry = self.journal.add(self.token, act, out)
-        kept.spent += count
+        stored.spent += count
         self._keep(out)
         self.reserves.append(Reserve(self.number + 1, entry, act))
         self._beat(now, out)
@@ -395,7 +415,7 @@
 
     def lower(self, now: float, build: int, cap: float, out: Out) -> bool:
         """Lower a build's cap within the site. It never rises here."""
-        if not self.acting or cap >= self.kept.caps.get(build, 1.0) or self.journal.full(self.token):
+        if not self.acting or cap >= self.stored.caps.get(build, 1.0) or self.journal.full(self.token):
             return False
         name = f"{self.token}-{len(self.journal.acts.get(self.token, {}))}-{self.me}"
         self.journal.add(self.token, Act(name, "cap", build=build, cap=cap), out)
@@ -416,27 +436,27 @@
         return [
             b
             for b, votes in self.ballots.items()
-            if len(votes) >= self.back_votes and self.kept.caps.get(b, 1.0) > 0.0
+            if len(votes) >= self.back_votes and self.stored.caps.get(b, 1.0) > 0.0
         ]
 
     # --- those who follow ---
     def _lead(self, now: float, sender: int, m: ms.Lead, out: Out) -> None:
-        kept = self.kept
-        if m.token < kept.newest or (m.token == kept.newest and kept.voted not in (None, sender)):
-            out.send(sender, ms.Followed(m.token, m.number, False, kept.newest, self.life))
+        stored = self.stored
+        if m.token < stored.newest or (m.token == stored.newest and stored.voted not in (None, sender)):
+            out.send(sender, ms.Followed(m.token, m.number, False, stored.newest, self.life))
             return
         if self.role is not Role.NONE:
             self._rest(now)
-        before = msgspec.msgpack.encode(kept)
-        kept.newest, kept.voted = m.token, sender
-        kept.spent = max(kept.spent, m.spent)
+        before = msgspec.msgpack.encode(stored)
+        stored.newest, stored.voted = m.token, sender
+        stored.spent = max(stored.spent, m.spent)
         self._lower(m.caps)
         self._note(m.token)
-        if msgspec.msgpack.encode(kept) != before:
+        if msgspec.msgpack.encode(stored) != before:
             self._keep(out)
         self.following, self.followed_at = m.token, now
         self._wait(now)
-        out.send(sender, ms.Followed(m.token, m.number, True, kept.newest, self.life))
+        out.send(sender, ms.Followed(m.token, m.number, True, stored.newest, self.life))
 
     def released(self, sender: int, m: ms.Released, out: Out) -> None:
         """The coordinator of that token has stopped."""
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -15,7 +15,7 @@
 import pytest
 
 from otterquay.addresses import split_address
-from otterquay.fleet.transport import HEAD, NONCE, TAG, Transport, seal
+from otterquay.fleet.transport import HEADER, NONCE_BYTES, TAG_BYTES, Transport, seal
 from otterquay.lab.cluster.relay import FrameRelay, Wire
 from otterquay.lab.simloop import simulate
 from otterquay.logs import silent
@@ -82,7 +82,7 @@
 
     async def inject(self, make: Callable[[bytes], bytes]) -> None:
         reader, writer = await asyncio.open_connection(*split_address(self.at))
-        writer.write(make(await reader.readexactly(NONCE)))
+        writer.write(make(await reader.readexactly(NONCE_BYTES)))
         await writer.drain()
         await asyncio.sleep(0.05)
         writer.close()
@@ -114,7 +114,7 @@
         self.opened = tr.Reader.open
 
         def trusting(reader: Any, frame: bytes) -> tuple[int, bytes]:
-            return HEAD.unpack_from(frame)[2], frame[HEAD.size : -TAG]
+            return HEADER.unpack_from(frame)[2], frame[HEADER.size : -TAG_BYTES]
 
         tr.Reader.open = trusting  # type: ignore[method-assign]
 
@@ -183,7 +183,7 @@
         {"sender": 9},
         {"to": 0},
         {"sender": 1},
-        {"nonce": b"n" * NONCE},
+        {"nonce": b"n" * NONCE_BYTES},
     ):
         await net.inject(frame(**case))
     await net.inject(lambda nonce: frame()(nonce)[:-1])
--- a/tests/fleet/test_handover.py
+++ b/tests/fleet/test_handover.py
@@ -96,7 +96,7 @@
     leader = sim.leader()
     assert leader is not None
     sim.leave(leader.plan.me)
-    assert without_leader(sim, leader.plan.me) < 0.5 and sim.hosts[leader.plan.me].node.left()  # type: ignore[union-attr]
+    assert without_leader(sim, leader.plan.me) < 0.5 and sim.hosts[leader.plan.me].node.has_left()  # type: ignore[union-attr]
     sim = running(3)
     leader = sim.leader()
     assert leader is not None
--- a/tests/fleet/test_judge.py
+++ b/tests/fleet/test_judge.py
@@ -12,7 +12,7 @@
 from otterquay.duties.errand import Request, Wanted
 from otterquay.duties.state import Duties
 from otterquay.duties.token import Token, duty_of
-from otterquay.fleet import words
+from otterquay.fleet import codec
 from otterquay.lab.fleetsim.judge import SAFETY, Judge
 from otterquay.runtimes import rows as rw
 from otterquay.sites import messages as sm
@@ -142,7 +142,7 @@
     books.whole.running["north"] = {"x": 5}
     again.end(yard, books)
     assert "orders_repeated" in raised(again)
-    assert len(SAFETY) == 12 and words.decode(words.encode(dm.AskTable())) == dm.AskTable()
+    assert len(SAFETY) == 12 and codec.decode(codec.encode(dm.AskTable())) == dm.AskTable()
 
 
 def test_a_request_that_leaves_under_an_old_token_from_one_that_was_awake() -> None:
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from otterquay.fleet.plan import Pace, Plan
+from otterquay.fleet.plan import Intervals, Plan
 from otterquay.lab.fleetsim.mutants import MUTANTS
 from otterquay.lab.fleetsim.world import YARD, Sim
 
@@ -43,7 +43,7 @@
         def slow_down(sim: Sim = sim, owner: int = owner) -> bool:
             """Once the order is written down, what goes to the yard is on the way for long."""
             asked = sim.hosts[owner].node
-            if asked is not None and asked.work is not None and asked.work.ordering.get("x"):
+            if asked is not None and asked.reconciler is not None and asked.reconciler.proposed_counts.get("x"):
                 sim.links.slow[owner, YARD] = 15.0
                 return True
             return False
@@ -89,17 +89,19 @@
     assert owner is not None
     host = sim.hosts[owner]
     assert host.node is not None
-    sim._step(host, host.node.leave(sim.now))
+    sim._step(host, host.node.shut_down(sim.now))
     assert sim.run(sim.now + 10.0, lambda: leader.duties.whole.duties["capacity/north"].token > token)
     assert sim.now - at < PLAN.terms.owner / 2, "long before its lease would have run out"
-    assert host.node.left() and not host.node.held and leader.duties.whole.duties["capacity/north"].owner != owner
+    assert (
+        host.node.has_left() and not host.node.owned and leader.duties.whole.duties["capacity/north"].owner != owner
+    )
 
 
 def test_words_from_where_they_must_not_come_change_nothing() -> None:
     from otterquay.duties import commands as cm
     from otterquay.duties import messages as dm
     from otterquay.duties.token import Token
-    from otterquay.fleet import words
+    from otterquay.fleet import codec
     from otterquay.group import messages as gm
     from otterquay.sites import messages as sm
 
@@ -107,15 +109,15 @@
     node = sim.hosts[0].node
     leader = sim.leader()
     assert node is not None and leader is not None
-    before = (leader.duties.dump(), node.site.kept.newest, leader.member.term)  # type: ignore[union-attr]
+    before = (leader.duties.dump(), node.site.stored.newest, leader.member.term)  # type: ignore[union-attr]
     claim = dm.Propose(cm.Proposal(1, 2**40, 1, cm.Claim("capacity/north")))
-    vote = words.encode(gm.Vote(2**61, 2**61, 2**61))
+    vote = codec.encode(gm.Vote(2**61, 2**61, 2**61))
     cases = [
         (leader, 2, claim),
         (leader, 2, dm.Propose(cm.Proposal(2, 2**40, 1, cm.Expire("capacity", Token(9), 1)))),
         (leader, 2, gm.Vote(2**61, 1, 1)),
         (leader, 2, dm.Relayed(0, leader.plan.me, vote)),
-        (leader, 0, dm.Relayed(0, leader.plan.me, words.encode(dm.Relayed(0, 1, b"")))),
+        (leader, 0, dm.Relayed(0, leader.plan.me, codec.encode(dm.Relayed(0, 1, b"")))),
         (leader, 0, dm.Relayed(0, leader.plan.me, b"\xc1")),
         (leader, 0, dm.Status(1, "south", [], 2**60, False)),
         (node, 4, sm.Lead(Token(2**61, 1), 1, 0, {})),
@@ -126,13 +128,13 @@
     for to, sender, message in cases:
         out = to.receive(sim.now, sender, message)
         assert not out.writes and not out.calls, message
-    assert (leader.duties.dump(), node.site.kept.newest, leader.member.term) == before  # type: ignore[union-attr]
+    assert (leader.duties.dump(), node.site.stored.newest, leader.member.term) == before  # type: ignore[union-attr]
     assert node.caps() == {}
 
 
 def test_an_owner_looks_at_the_yard_as_often_as_it_was_told() -> None:
     """An answer once did not end the wait for one that is lost: every look took three seconds."""
-    sim = Sim(replace(PLAN, pace=replace(PLAN.pace, yard=0.4)), 2)
+    sim = Sim(replace(PLAN, intervals=replace(PLAN.intervals, yard=0.4)), 2)
     for number in sim.hosts:
         sim.start(number)
     assert sim.run(60.0, sim.rests)
@@ -149,7 +151,7 @@
     30,
     3,
     {"north": {"a": 4, "b": 2}, "south": {"a": 2, "b": 4, "c": 2}},
-    pace=Pace(yard=0.4, owes=4.0),
+    intervals=Intervals(yard=0.4, owes=4.0),
 )
 
 
--- a/tests/fleet/test_posts.py
+++ b/tests/fleet/test_posts.py
@@ -18,7 +18,7 @@
 from otterquay.duties.spread.progress import STUCK, Progress
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
-from otterquay.fleet import words
+from otterquay.fleet import codec
 
 TERMS = Terms(4.0, 0.02)
 A, B = "look/north/a", "look/north/b"
@@ -299,10 +299,10 @@
     """With 512 as the bound, an agent left alone with more was refused by its leader, and held nothing."""
     many = list(range(1, POSTS_MOST + 1))
     status = dm.Status(1, "north", [], 0, False, 1, 0, many)
-    assert words.decode(words.encode(status)) == status
+    assert codec.decode(codec.encode(status)) == status
     site = dm.SiteBeat(NONE, 0, NONE, [], [], 0, 0)
     beat = dm.Beat(1, {}, site, {}, 0, 0, 1, [(f"look/north/{n}", Token(n)) for n in many])
-    assert words.decode(words.encode(beat)) == beat
+    assert codec.decode(codec.encode(beat)) == beat
 
 
 class Bench:
--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -8,7 +8,7 @@
 from otterquay.duties.errand import Answer
 from otterquay.duties.state import OrderState
 from otterquay.duties.token import Token, duty_of
-from otterquay.fleet.sitework import SiteWork
+from otterquay.fleet.site_reconciler import SiteReconciler
 from otterquay.lab.fleetsim.reads import Reads
 
 NORTH, TOKEN = duty_of("north"), Token(3)
@@ -58,7 +58,9 @@
         told(now, cm.Result(True), out)
         return True
 
-    work = SiteWork("north", TOKEN, lambda now, alive: {"x": 6}, 1.0, lambda *_: None, propose, "run", reads=1)
+    work = SiteReconciler(
+        "north", TOKEN, lambda now, alive: {"x": 6}, 1.0, lambda *_: None, propose, "run", reads=1
+    )
     work.booked(books(1, {}), 0.0, Out())
     work._order(0.1, Out())
     assert len(ordered) == 1 and work.books is None
--- a/tests/fleet/test_retiring.py
+++ b/tests/fleet/test_retiring.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from otterquay.fleet.plan import Pace, Plan
+from otterquay.fleet.plan import Intervals, Plan
 from otterquay.lab.fleetsim.world import YARD, Sim
 from otterquay.runtimes.demand import FRESH_S
 from otterquay.runtimes.machine import Estimate
@@ -18,7 +18,7 @@
     20,
     2,
     {"north": {"x": 6}, "south": {"x": 2}},
-    pace=Pace(retire=10.0),
+    intervals=Intervals(retire=10.0),
 )
 
 
@@ -40,8 +40,8 @@
         return {"x": least if site == "north" else 2}
 
     node._want = wanted  # type: ignore[attr-defined]
-    if node.work:  # type: ignore[attr-defined]
-        node.work.want = wanted  # type: ignore[attr-defined]
+    if node.reconciler:  # type: ignore[attr-defined]
+        node.reconciler.want = wanted  # type: ignore[attr-defined]
 
 
 def alive(sim: Sim) -> int:
@@ -74,7 +74,7 @@
 
 
 def test_it_is_off_unless_asked_for() -> None:
-    sim = fallen(replace(PLAN, pace=Pace()))
+    sim = fallen(replace(PLAN, intervals=Intervals()))
     sim.run(sim.now + 60.0)
     assert alive(sim) == 6
 
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -9,9 +9,9 @@
 
 from otterquay.lab.runtimes import draw, estimates, score
 from otterquay.runtimes import rows as rw
+from otterquay.runtimes.evidence import SharedEvidence
 from otterquay.runtimes.machine import Estimate, Machine
 from otterquay.runtimes.model import fit
-from otterquay.runtimes.shared import Shared
 from otterquay.runtimes.sizing import Sizing, needed
 
 MACHINES = {"a": Machine("old", (2.0, 2.0, 8.0)), "b": Machine("old", (4.0, 3.0, 8.0)), "c": Machine("new")}
@@ -47,7 +47,7 @@
 ) -> rw.Rows:
     rows = rw.Rows()
     for i in range(count):
-        rows.note(rw.Key(agent, life, epoch, cls, kind, 7, 1), ms * (0.9 + 0.01 * (i % 20)), True, late)
+        rows.record(rw.Key(agent, life, epoch, cls, kind, 7, 1), ms * (0.9 + 0.01 * (i % 20)), True, late)
     return rows
 
 
@@ -57,7 +57,7 @@
         for life in (1, 2):
             rows = noted(agent, life=life, count=5)
             early = rw.encode(rows.of(agent))
-            rows.note(rw.Key(agent, life, 0, "read", "a", 7, 1), 70.0, True, False)
+            rows.record(rw.Key(agent, life, 0, "read", "a", 7, 1), 70.0, True, False)
             told += [(agent, early), (agent, rw.encode(rows.of(agent)))]
     states = []
     for seed in range(6):
@@ -86,9 +86,9 @@
 
 
 def test_nobody_speaks_for_another_and_words_that_cannot_be_are_passed_over_whole() -> None:
-    shared = Shared(0, 1, MACHINES)
-    assert shared.merge(rw.encode(noted(2).of(2)), 3) == 0 and shared.merge(rw.encode(noted(2).of(2)), 2) == 1
-    before = dict(shared.evidence.rows)
+    run_times = SharedEvidence(0, 1, MACHINES)
+    assert run_times.merge(rw.encode(noted(2).of(2)), 3) == 0 and run_times.merge(rw.encode(noted(2).of(2)), 2) == 1
+    before = dict(run_times.evidence.rows)
     for bad in (
         b"",
         b"\xc1",
@@ -96,8 +96,8 @@
         rw.encode([(rw.Key(2, 1, 0, "read", "a", 7, 1), rw.Row(9, {200: 1}))]),
         rw.encode([(rw.Key(2, 2**63, 0, "read", "a", 7, 1), rw.Row(9))]),
     ):
-        assert shared.merge(bad, 2) == 0
-    assert shared.evidence.rows == before
+        assert run_times.merge(bad, 2) == 0
+    assert run_times.evidence.rows == before
 
 
 def test_a_kind_with_nothing_alike_is_unknown_and_says_why() -> None:
@@ -129,9 +129,9 @@
     rows = noted(1, 0)
     rows.age(rw.EPOCHS)
     assert rows.rows == {} and rows.merge(noted(1, 0).of(1)) == 0
-    monkeypatch.setattr(rw, "ROWS_MOST", 3)
+    monkeypatch.setattr(rw, "MAX_ROWS", 3)
     for server in range(9):
-        rows.note(rw.Key(1, 1, rw.EPOCHS, "read", "a", server, 1), 5.0, True, False)
+        rows.record(rw.Key(1, 1, rw.EPOCHS, "read", "a", server, 1), 5.0, True, False)
     assert len(rows.rows) == 3
 
 
@@ -146,9 +146,9 @@
 
 
 def test_a_table_goes_round_and_an_older_one_changes_nothing() -> None:
-    owner, other = Shared(0, 1, MACHINES), Shared(1, 1, MACHINES)
+    owner, other = SharedEvidence(0, 1, MACHINES), SharedEvidence(1, 1, MACHINES)
     for _ in range(9):
-        owner.note(0.0, "read", "a", 7, 1, 40.0, alone=True, late=False)
+        owner.record(0.0, "read", "a", 7, 1, 40.0, alone=True, late=False)
     table = owner.table()
     other.told(3, table)
     assert other.estimate("read", "a").median == pytest.approx(40.0, rel=0.1)
@@ -178,8 +178,8 @@
         for host in sim.hosts.values():
             assert host.node is not None
             for _ in range(10):
-                host.node.demand.note("read")
-                host.node.shared.note(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
+                host.node.demand.record("read")
+                host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
         if sim.now < 60:
             sim.at(sim.now + 0.5, asked)
 
@@ -204,7 +204,7 @@
     for host in sim.hosts.values():
         assert host.node is not None
         for _ in range(5):
-            host.node.shared.note(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
+            host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
     sim.run(12.0)
     leader = sim.leader()
     assert leader is not None
@@ -220,4 +220,4 @@
     assert successor not in (None, owner)
     node = sim.hosts[successor].node  # type: ignore[index]
     assert node is not None
-    assert {key.agent for key in node.shared.evidence.rows} >= set(sim.hosts) - {owner}
+    assert {key.agent for key in node.run_times.evidence.rows} >= set(sim.hosts) - {owner}
--- a/tests/fleet/test_sites.py
+++ b/tests/fleet/test_sites.py
@@ -11,7 +11,7 @@
 from otterquay.duties.token import Token
 from otterquay.sites import messages as ms
 from otterquay.sites.journal import ACTS_KEPT, Journal
-from otterquay.sites.site import UNKNOWN, Kept, Site, Times
+from otterquay.sites.site import UNKNOWN, Site, StoredState, Times
 
 
 class Cluster:
@@ -23,12 +23,12 @@
         self.now = 0.0
         self.sites = {}
         for me in range(count):
-            kept = Kept(newest=Token(4), allowed=allowed)
+            stored = StoredState(newest=Token(4), allowed=allowed)
             self.sites[me] = Site.load(
                 me,
                 tuple(range(count)),
                 random.Random(me),
-                msgspec.msgpack.encode(kept),
+                msgspec.msgpack.encode(stored),
                 Journal(),
                 0.0,
                 Times(),
@@ -89,7 +89,7 @@
     site.cut.clear()
     site.run(0.4)
     assert [act.count for _, _, act in site.sites[one].ready] == [3]
-    assert all(site.sites[n].kept.spent == 3 for n in site.sites)
+    assert all(site.sites[n].stored.spent == 3 for n in site.sites)
     assert not site.sites[one].order(site.now, "x", 3, Out()), "two are left of five"
 
 
@@ -107,7 +107,7 @@
     (two,) = site.coordinators()
     after = site.sites[two]
     assert two != one and after.token > site.sites[one].token
-    assert after.kept.spent == 4 and after.kept.caps == {7: 0.1}
+    assert after.stored.spent == 4 and after.stored.caps == {7: 0.1}
     assert not after.order(site.now, "x", 2, Out()) and after.order(site.now, "x", 1, Out())
     assert not after.lower(site.now, 7, 0.5, Out()), "a cap never rises here"
 
@@ -157,23 +157,23 @@
 def test_an_empty_or_older_disk_has_no_vote_before_a_settlement() -> None:
     out = Out()
     fresh = Site.load(0, (0, 1, 2), random.Random(1), None, Journal(), 0.0, Times(), 1, 1 << 20, out)
-    assert fresh.kept.barred == UNKNOWN and out.writes, "also after another start"
+    assert fresh.stored.barred_until == UNKNOWN and out.writes, "also after another start"
     answers = Out()
     fresh.receive(50.0, 1, ms.Ask(Token(9, 1), False), answers)
     assert [s.message.granted for s in answers.sends] == [False]
     fresh.upstream(50.0, Token(6), 0, 0, Token(5), [], Out())
-    assert fresh.kept.barred == UNKNOWN
+    assert fresh.stored.barred_until == UNKNOWN
     fresh.joined(True, Token(6), Out())
-    assert fresh.kept.barred == 6
+    assert fresh.stored.barred_until == 6
     fresh.upstream(51.0, Token(7), 0, 0, Token(7), [], Out())
-    assert fresh.kept.barred == -1
+    assert fresh.stored.barred_until == -1
     older = Cluster()
     older.sites[1].receive(0.0, 0, ms.Word(0.0, 5 << 20), Out())
     back = Out()
     older.sites[1].receive(0.1, 0, ms.Answer(Token(4, 1), False, True, Token(4, 1), 0, 0, {}, 3 << 20), back)
     assert [s.message for s in back.sends] == [ms.Older(5 << 20)]
     older.sites[0].receive(0.2, 1, ms.Older(5 << 20), Out())
-    assert older.sites[0].kept.barred == UNKNOWN
+    assert older.sites[0].stored.barred_until == UNKNOWN
 
 
 def test_only_acts_that_may_have_happened_are_handed_over_in_pieces_that_fit() -> None:
