--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -24,14 +24,14 @@
     if group is None or capacity is None:
         raise ValueError("no block group, or none capacity")
     sites = {int(name): agent.zone for name, agent in group.agent.items()}
-    wants = {zone: dict(capacity.site[zone].want) if zone in capacity.site else {} for zone in set(sites.values())}
+    wanted = {zone: dict(capacity.site[zone].want) if zone in capacity.site else {} for zone in set(sites.values())}
     return Plan(
         service.agent.number,
         tuple(group.members),
         sites,
         capacity.bound,
         capacity.allowance,
-        wants,
+        wanted,
         max(service.rollout.back_votes, 1),
         machines={
             kind: Machine(m.family, (m.cores, m.clock_ghz, m.memory_gib)) for kind, m in service.machine.items()
--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -222,7 +222,7 @@
             if (state := whole.duties[duty_of(site)]).owner is not None
         }
         room = whole.bound - self.duties.taken()
-        for site, why in chief.progress.sites(now, whole.spread, self.plan.wants, owners, room):
+        for site, why in chief.progress.sites(now, whole.spread, self.plan.wanted, owners, room):
             owner, duty = owners[site][0], duty_of(site)
             if self.relieved.get((duty, owner), -1e9) <= now:
                 kept = sorted((until, a) for (d, a), until in self.relieved.items() if d == duty)
@@ -238,7 +238,7 @@
         """Posts that there should be: the kinds wanted of each site, and those that run there."""
         whole = self.duties.whole
         kinds = {
-            site: {*self.plan.wants.get(site, {}), *whole.running.get(site, {})} for site in self.plan.site_names()
+            site: {*self.plan.wanted.get(site, {}), *whole.running.get(site, {})} for site in self.plan.site_names()
         }
         return posts_of(self.plan.site_names(), kinds)
 
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -521,7 +521,7 @@
 
     def _want(self, now: float, alive: Mapping[str, int]) -> Mapping[str, int]:
         """Servers wanted of our site: the settings' least, and for one kind what the demand asks for."""
-        want = dict(self.plan.wants.get(self.plan.site, {}))
+        want = dict(self.plan.wanted.get(self.plan.site, {}))
         kind = self.plan.sized.get(self.plan.site)
         if kind is not None:
             demand = self.demand.of_site(now)
--- a/otterquay/fleet/plan.py
+++ b/otterquay/fleet/plan.py
@@ -36,7 +36,7 @@
     sites: Mapping[int, str]
     bound: int
     allowance: int
-    wants: Mapping[str, Mapping[str, int]]
+    wanted: Mapping[str, Mapping[str, int]]
     back_votes: int = 1
     machines: Mapping[str, Machine] = field(default_factory=dict)
     sized: Mapping[str, str] = field(default_factory=dict)  # by site: the kind ordered as the demand asks
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -28,7 +28,7 @@
 CALLS_MOST = 64  # requests to the yard at one time
 
 
-def tables(store: Store) -> Tables:
+def load_tables(store: Store) -> Tables:
     """What the disk holds."""
     return {name: dict(store.scan(name)) for name in TABLES}
 
@@ -64,7 +64,7 @@
         """Listen and begin. OSError: the address cannot be had. ValueError: the disk's tables cannot be right."""
         loop = asyncio.get_running_loop()
         self._now = loop.time
-        self.node = Node(self.plan, tables(self.store), self.rng, self._now())
+        self.node = Node(self.plan, load_tables(self.store), self.rng, self._now())
         self.node.caps_changed = self._caps_changed
         bound = await self.transport.start()
         self._keep(loop.create_task(self._carry()))
@@ -115,8 +115,8 @@
         self.node.demand.record(str(cls))
         if trial:
             return  # what a build on trial does is not its hardware's
-        late = end is it.Status.TIMEOUT
-        if late or end is it.Status.OK:
+        timed_out = end is it.Status.TIMEOUT
+        if timed_out or end is it.Status.OK:
             self.node.run_times.record(
                 self._now(),
                 str(cls),
@@ -125,7 +125,7 @@
                 entry.build,
                 latency_ms,
                 alone=left == 0,
-                late=late,
+                timed_out=timed_out,
             )
 
     def report(self) -> str:
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -341,7 +341,7 @@
             return False
         return all(
             leader.duties.alive(site, kind) >= count or whole.bound <= leader.duties.taken()
-            for site, kinds in self.plan.wants.items()
+            for site, kinds in self.plan.wanted.items()
             for kind, count in kinds.items()
         )
 
--- a/otterquay/lab/runtimes.py
+++ b/otterquay/lab/runtimes.py
@@ -74,13 +74,13 @@
                         tail = rng.expovariate(1.5) if rng.random() < 0.05 else 0.0
                         y = truth[cls, kind] + off + rng.gauss(0, 0.35) + tail
                         y += math.log(trial) if slow and trial else 0.0
-                        late = cut_at is not None and y > truth[cls, kind] + math.log(cut_at)
-                        if late and cut_at is not None:
+                        timed_out = cut_at is not None and y > truth[cls, kind] + math.log(cut_at)
+                        if timed_out and cut_at is not None:
                             y = truth[cls, kind] + math.log(cut_at)
-                        fleet.rows.record(key, math.exp(y), alone=True, late=late)
+                        fleet.rows.record(key, math.exp(y), alone=True, timed_out=timed_out)
                     if rng.random() < 0.5:  # queued: at most so long
                         waited = truth[cls, kind] + rng.uniform(0.5, 2)
-                        fleet.rows.record(key, math.exp(waited), alone=False, late=False)
+                        fleet.rows.record(key, math.exp(waited), alone=False, timed_out=False)
     for agent in range(agents - liars, agents):
         for key, row in list(fleet.rows.rows.items()):
             if key.agent == agent:
--- a/otterquay/runtimes/evidence.py
+++ b/otterquay/runtimes/evidence.py
@@ -53,11 +53,11 @@
         self.life = life
 
     def record(
-        self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool, late: bool
+        self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool, timed_out: bool
     ) -> None:
         """An attempt of our own has ended."""
         key = rw.Key(self.me, self.life, self.evidence.newest, cls, kind, server, build)
-        self.evidence.record(key, ms, alone, late)
+        self.evidence.record(key, ms, alone, timed_out)
 
     def rows(self) -> bytes:
         """Our rows that have changed since they were last sent, oldest first; empty for none."""
--- a/otterquay/runtimes/rows.py
+++ b/otterquay/runtimes/rows.py
@@ -64,12 +64,12 @@
         self.newest = 0  # epoch
         self.changes = 0  # how often anything was noted, taken or dropped
 
-    def record(self, key: Key, ms: float, alone: bool, late: bool) -> None:
+    def record(self, key: Key, ms: float, alone: bool, timed_out: bool) -> None:
         """One more attempt of our own."""
         if key not in self.rows and len(self.rows) >= MAX_ROWS:
             return
         row = self.rows.setdefault(key, Row())
-        bins = row.at_least if late else row.exact if alone else row.at_most
+        bins = row.at_least if timed_out else row.exact if alone else row.at_most
         at = bin_of(ms)
         bins[at] = bins.get(at, 0) + 1
         row.version += 1
--- a/tests/contracts/test_stores.py
+++ b/tests/contracts/test_stores.py
@@ -17,7 +17,7 @@
 
 from otterquay.cores.out import Out
 from otterquay.fleet.node import TABLES
-from otterquay.fleet.shell import tables
+from otterquay.fleet.shell import load_tables
 from otterquay.group.log import LOG, META, Log
 from otterquay.group.messages import Entry
 from otterquay.lab.disk import FaultDisk
@@ -49,7 +49,7 @@
 
     def held(self) -> dict[str, dict[bytes, bytes]]:
         assert self.store is not None
-        return {name: dict(rows) for name, rows in tables(self.store).items() if rows}
+        return {name: dict(rows) for name, rows in load_tables(self.store).items() if rows}
 
 
 class Forgets(Kept):
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -43,11 +43,11 @@
     life: int = 1,
     count: int = 20,
     cls: str = "read",
-    late: bool = False,
+    timed_out: bool = False,
 ) -> rw.Rows:
     rows = rw.Rows()
     for i in range(count):
-        rows.record(rw.Key(agent, life, epoch, cls, kind, 7, 1), ms * (0.9 + 0.01 * (i % 20)), True, late)
+        rows.record(rw.Key(agent, life, epoch, cls, kind, 7, 1), ms * (0.9 + 0.01 * (i % 20)), True, timed_out)
     return rows
 
 
@@ -148,7 +148,7 @@
 def test_a_table_goes_round_and_an_older_one_changes_nothing() -> None:
     owner, other = SharedEvidence(0, 1, MACHINES), SharedEvidence(1, 1, MACHINES)
     for _ in range(9):
-        owner.record(0.0, "read", "a", 7, 1, 40.0, alone=True, late=False)
+        owner.record(0.0, "read", "a", 7, 1, 40.0, alone=True, timed_out=False)
     table = owner.table()
     other.told(3, table)
     assert other.estimate("read", "a").median == pytest.approx(40.0, rel=0.1)
@@ -179,7 +179,7 @@
             assert host.node is not None
             for _ in range(10):
                 host.node.demand.record("read")
-                host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
+                host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, timed_out=False)
         if sim.now < 60:
             sim.at(sim.now + 0.5, asked)
 
@@ -204,7 +204,7 @@
     for host in sim.hosts.values():
         assert host.node is not None
         for _ in range(5):
-            host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
+            host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, timed_out=False)
     sim.run(12.0)
     leader = sim.leader()
     assert leader is not None
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -30,7 +30,7 @@
 
 def test_the_blocks_make_a_plan() -> None:
     plan = plan_of(parse_service(BASE + GROUP + CAPACITY + 'machine "3" {\n  family = "f"\n  cores = 4\n}\n'))
-    assert plan.members == (0, 1, 2) and plan.agents_of("north") == (0, 3) and plan.wants["north"] == {"a": 3}
+    assert plan.members == (0, 1, 2) and plan.agents_of("north") == (0, 3) and plan.wanted["north"] == {"a": 3}
     assert plan.machines["3"].family == "f" and plan.terms.lease == 4.0 and plan.site_times.lost == 4.0
     with pytest.raises(ValueError, match="no block group"):
         plan_of(parse_service(BASE))
