--- a/otterquay/fleet/__init__.py
+++ b/otterquay/fleet/__init__.py
@@ -1,3 +1,1 @@
-"""The fleet's own work in one agent: group, duties, site and run times joined (`node.py`, no I/O), and their
-shell.
-"""
+"""The fleet work of one agent: group, duties, site and run times in `node.py` (no I/O), run by `shell.py`."""
--- a/otterquay/fleet/build.py
+++ b/otterquay/fleet/build.py
@@ -1,4 +1,4 @@
-"""From an agent's settings to its fleet work; imported only where the settings ask for it."""
+"""Builds an agent's fleet work from its settings; imported only if the settings configure it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from otterquay.store import Store
 
 
-def plan_of(service: Service) -> Plan:
-    """The plan that the settings' blocks describe. ValueError without them."""
+def plan_from_settings(service: Service) -> Plan:
+    """Return the plan that the blocks `group` and `capacity` describe; ValueError without them."""
     group, capacity = service.group, service.capacity
     if group is None or capacity is None:
-        raise ValueError("no block group, or none capacity")
+        raise ValueError("no block group or no block capacity")
     sites = {int(name): agent.zone for name, agent in group.agent.items()}
     wanted = {zone: dict(capacity.site[zone].want) if zone in capacity.site else {} for zone in set(sites.values())}
     return Plan(
@@ -36,7 +36,7 @@
         machines={
             kind: Machine(m.family, (m.cores, m.clock_ghz, m.memory_gib)) for kind, m in service.machine.items()
         },
-        sized={name: site.size for name, site in capacity.site.items() if site.size is not None},
+        demand_driven_kinds={name: site.size for name, site in capacity.site.items() if site.size is not None},
         intervals=Intervals(
             yard=capacity.look / 1e3,
             settle=group.settle / 1e3,
@@ -50,7 +50,7 @@
 
 
 def read_key(path: Path) -> bytes:
-    """The key of 64 hex digits. OSError, ValueError."""
+    """Read the group's key of 64 hex digits. Raises OSError or ValueError."""
     key = bytes.fromhex(path.read_text(encoding="ascii").strip())
     if len(key) != 32:
         raise ValueError("the group's key file must hold 64 hex digits")
@@ -58,11 +58,11 @@
 
 
 def attach(agent: WebAgent, store: Store, rng: random.Random, log: Logger) -> FleetWork:
-    """Give an agent its part in the fleet's work. OSError, ValueError: the key cannot be read."""
+    """Attach fleet work to an agent. Raises OSError or ValueError if the key cannot be read."""
     service = agent.service
     group, capacity = service.group, service.capacity
     assert group is not None and capacity is not None
-    plan = plan_of(service)
+    plan = plan_from_settings(service)
     work = FleetWork(
         plan,
         group.listen or group.agent[str(plan.me)].address,
@@ -74,6 +74,6 @@
         rng,
         log,
     )
-    work.again = agent.tell_again
+    work.on_caps_changed = agent.tell_again
     agent.ports.fleet = work
     return work
--- a/otterquay/fleet/codec.py
+++ b/otterquay/fleet/codec.py
@@ -1,6 +1,4 @@
-"""All messages between agents as bytes: MessagePack by msgspec, each field within its range or the whole is
-refused.
-"""
+"""Encodes all messages between agents as MessagePack; a message with any field out of its range is refused."""
 
 from __future__ import annotations
 
@@ -11,18 +9,18 @@
 from otterquay.sites import messages as sm
 
 Message = gm.Message | dm.Message | sm.Message
-MESSAGE_MOST = 8 * 1024 * 1024
+MAX_MESSAGE_BYTES = 8 * 1024 * 1024
 _ENCODER = msgspec.msgpack.Encoder()
 _DECODER: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def encode(message: Message) -> bytes:
-    """Bytes of a message."""
+    """Encode a message."""
     return _ENCODER.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """A message from its bytes; ValueError (msgspec's errors are) for what is none, or out of range."""
-    if len(data) > MESSAGE_MOST:
-        raise ValueError(f"a message of {len(data)} bytes, at most {MESSAGE_MOST} are taken")
+    """Decode a message. Raises ValueError (msgspec's errors derive from it) if it is malformed or out of range."""
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"a message of {len(data)} bytes, at most {MAX_MESSAGE_BYTES} are accepted")
     return _DECODER.decode(data)
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -1,7 +1,7 @@
-"""The node on the running loop: frames, store, yard and clock on one side, the agent's port on the other.
+"""Runs the node on the event loop: connects it to transport, store, yard and clock, and to the agent's port.
 
-Steps are carried out one after the other, each one's writes before its messages. All that the node is told comes in
-turns of the loop; nothing here decides.
+Steps are applied one after the other, each one's writes before its messages. All events reach the node from the
+event loop; no decision is made here.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 from otterquay.protocol import news
 from otterquay.store import Change, Delete, Put, Store, StoreFailed
 
-LEAVE_S = 2.0  # a planned end waits so long for what it hands over to be taken
-STEPS_MOST = 10_000  # steps that wait for the disk; beyond, the agent's fleet work counts as stopped
-CALLS_MOST = 64  # requests to the yard at one time
+SHUTDOWN_TIMEOUT_S = 2.0  # longest wait for the handover at a planned shutdown
+MAX_QUEUED_STEPS = 10_000  # steps waiting for the disk; beyond this, fleet work stops
+MAX_CONCURRENT_CALLS = 64  # concurrent requests to the yard
 
 
 def load_tables(store: Store) -> Tables:
-    """What the disk holds."""
+    """Load the node's tables from the store."""
     return {name: dict(store.scan(name)) for name in TABLES}
 
 
 class FleetWork:
-    """One agent's part in the fleet's work; `listen` is its own address, `addresses` those of the others."""
+    """The fleet work of one agent; `listen` is its own address, `addresses` those of the others."""
 
     def __init__(
         self,
@@ -49,41 +49,43 @@
         log: Logger,
     ) -> None:
         self.plan, self.yard, self.store, self.rng, self.log = plan, yard, store, rng, log
-        self.transport = Transport(plan.me, listen, addresses, group, key, rng, self._heard, log)
+        self.transport = Transport(plan.me, listen, addresses, group, key, rng, self._message_received, log)
         self.node: Node | None = None
-        self.again: Callable[[], None] = lambda: None  # the caps have changed: the newest stage is told anew
-        self._steps: asyncio.Queue[Out] = asyncio.Queue(STEPS_MOST)
+        self.on_caps_changed: Callable[[], None] = lambda: None  # called when caps change
+        self._queued_steps: asyncio.Queue[Out] = asyncio.Queue(MAX_QUEUED_STEPS)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._calls = 0
+        self._call_count = 0
         self._caps: dict[int, float] = {}
-        self._open: dict[int, int] = {}
+        self._open_attempts: dict[int, int] = {}
 
     # --- the agent's port ---
     async def start(self) -> None:
-        """Listen and begin. OSError: the address cannot be had. ValueError: the disk's tables cannot be right."""
+        """Listen and start. Raises OSError if binding fails, ValueError if the stored tables are invalid."""
         loop = asyncio.get_running_loop()
         self._now = loop.time
         self.node = Node(self.plan, load_tables(self.store), self.rng, self._now())
         self.node.caps_changed = self._caps_changed
-        bound = await self.transport.start()
-        self._keep(loop.create_task(self._carry()))
-        self._step(self.node.start(self._now()))
+        address = await self.transport.start()
+        self._track_task(loop.create_task(self._apply_steps()))
+        self._enqueue_step(self.node.start(self._now()))
         self._tick()
-        self.log.info("fleet_work_started", listen=bound, site=self.plan.site, member=self.node.member is not None)
+        self.log.info(
+            "fleet_work_started", listen=address, site=self.plan.site, member=self.node.member is not None
+        )
 
     async def stop(self) -> None:
-        """Hand over what is owned, then close."""
+        """Hand over the owned duties, then close."""
         if self.node and not self.node.broken:
-            self._step(self.node.shut_down(self._now()))
-            until = self._now() + LEAVE_S
-            while not self.node.has_left() and self._now() < until:
+            self._enqueue_step(self.node.shut_down(self._now()))
+            deadline = self._now() + SHUTDOWN_TIMEOUT_S
+            while not self.node.has_left() and self._now() < deadline:
                 await asyncio.sleep(0.02)
-            await asyncio.sleep(0.05)  # the last word, to the coordinator's followers, has no answer
+            await asyncio.sleep(0.05)  # the Released message to the followers is not acknowledged: let it leave
         self.close()
 
     def close(self) -> None:
-        """End at once."""
+        """Stop immediately, without a handover."""
         if self._timer:
             self._timer.cancel()
         for task in self._tasks:
@@ -91,30 +93,30 @@
         self.transport.close()
 
     def tightened(self, news: it.StageNews) -> it.StageNews:
-        """The desk's news with what the group or the site's coordinator has lowered."""
+        """Return the release desk's news with the cap lowered to that of the group or the site's coordinator."""
         return replace(news, cap=min(news.cap, self._caps.get(news.build, 1.0)))
 
     def voted(self, vote: it.CastVote) -> None:
-        """The module's verdict; a coordinator counts it while the site is cut off."""
+        """Handle the decision module's verdict; a coordinator counts it while the site is cut off."""
         if self.node and not self.node.broken:
-            self._step(self.node.voted(self._now(), vote.build, vote.verdict is it.Verdict.BACK))
+            self._enqueue_step(self.node.voted(self._now(), vote.build, vote.verdict is it.Verdict.BACK))
 
     def sent(self, server: int) -> None:
-        """An attempt goes out."""
-        self._open[server] = self._open.get(server, 0) + 1
+        """Record that an attempt was sent."""
+        self._open_attempts[server] = self._open_attempts.get(server, 0) + 1
 
     def ran(self, entry: news.Entry, cls: int, end: it.Status, latency_ms: float, trial: bool) -> None:
-        """An attempt has ended: evidence of how long its class runs on that kind of server."""
-        left = self._open.get(entry.server, 1) - 1
-        if left > 0:
-            self._open[entry.server] = left
+        """Record an ended attempt as evidence of its class's run time on that kind of server."""
+        remaining = self._open_attempts.get(entry.server, 1) - 1
+        if remaining > 0:
+            self._open_attempts[entry.server] = remaining
         else:
-            self._open.pop(entry.server, None)
+            self._open_attempts.pop(entry.server, None)
         if self.node is None:
             return
         self.node.demand.record(str(cls))
         if trial:
-            return  # what a build on trial does is not its hardware's
+            return  # a trial build's run time says nothing about the hardware
         timed_out = end is it.Status.TIMEOUT
         if timed_out or end is it.Status.OK:
             self.node.run_times.record(
@@ -124,22 +126,22 @@
                 entry.server,
                 entry.build,
                 latency_ms,
-                alone=left == 0,
+                alone=remaining == 0,
                 timed_out=timed_out,
             )
 
     def report(self) -> str:
-        """What operators ask for."""
+        """Return a one-line summary for operators."""
         if self.node is None:
             return "fleet work not started"
         return ", ".join(f"{k} {v}" for k, v in self.node.digest().items() if v)
 
     def _caps_changed(self, caps: dict[int, float]) -> None:
         self._caps = caps
-        self.again()
+        self.on_caps_changed()
 
     # --- events ---
-    def _keep(self, task: asyncio.Task[Any]) -> None:
+    def _track_task(self, task: asyncio.Task[Any]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -147,11 +149,11 @@
         if self.node is None:
             return
         now = self._now()
-        self._step(self.node.tick(now))
+        self._enqueue_step(self.node.tick(now))
         wait = min(max(self.node.due() - now, 0.01), 0.2)
         self._timer = asyncio.get_running_loop().call_later(wait, self._tick)
 
-    def _heard(self, sender: int, payload: bytes) -> None:
+    def _message_received(self, sender: int, payload: bytes) -> None:
         if self.node is None:
             return
         try:
@@ -159,24 +161,24 @@
         except ValueError as error:
             self.log.warning("fleet_message_refused", sender=sender, reason=str(error)[:200])
             return
-        self._step(self.node.receive(self._now(), sender, message))
+        self._enqueue_step(self.node.receive(self._now(), sender, message))
 
-    def _step(self, out: Out) -> None:
+    def _enqueue_step(self, out: Out) -> None:
         if out.empty():
             return
         try:
-            self._steps.put_nowait(out)
+            self._queued_steps.put_nowait(out)
         except asyncio.QueueFull:
             if self.node:
-                self._say(self.node.disk_failed("the disk does not keep up"))
+                self._write_log(self.node.disk_failed("the disk is too slow: too many steps are queued"))
 
-    # --- wishes ---
-    async def _carry(self) -> None:
+    # --- effects ---
+    async def _apply_steps(self) -> None:
         assert self.node is not None
         while True:
-            out = await self._steps.get()
+            out = await self._queued_steps.get()
             if self.node.broken:
-                self._say(out)
+                self._write_log(out)
                 continue
             if out.writes:
                 changes: list[Change] = [
@@ -185,33 +187,33 @@
                 try:
                     await self.store.commit(changes)
                 except (StoreFailed, ValueError) as error:
-                    self._say(self.node.disk_failed(str(error)))
+                    self._write_log(self.node.disk_failed(str(error)))
                     continue
-            self._say(out)
+            self._write_log(out)
             for send in out.sends:
                 if send.to == self.plan.me:
-                    asyncio.get_running_loop().call_soon(self._loop_back, send.message)
+                    asyncio.get_running_loop().call_soon(self._deliver_to_self, send.message)
                 else:
                     self.transport.send(send.to, codec.encode(send.message))
             for call in out.calls:
-                if self._calls < CALLS_MOST:
-                    self._calls += 1
-                    self._keep(asyncio.get_running_loop().create_task(self._call(call.tag, call.request)))
+                if self._call_count < MAX_CONCURRENT_CALLS:
+                    self._call_count += 1
+                    self._track_task(asyncio.get_running_loop().create_task(self._call(call.tag, call.request)))
             if out.lasting:
-                self._step(self.node.writes_durable(self._now(), out))
+                self._enqueue_step(self.node.writes_durable(self._now(), out))
 
-    def _loop_back(self, message: codec.Message) -> None:
+    def _deliver_to_self(self, message: codec.Message) -> None:
         if self.node:
-            self._step(self.node.receive(self._now(), self.plan.me, message))
+            self._enqueue_step(self.node.receive(self._now(), self.plan.me, message))
 
     async def _call(self, tag: int, request: Request) -> None:
         try:
-            answer = await yard_client.ask(self.yard, self.plan.me, request)
+            answer = await yard_client.send_request(self.yard, self.plan.me, request)
         finally:
-            self._calls -= 1
+            self._call_count -= 1
         if self.node:
-            self._step(self.node.answered(self._now(), tag, answer))
+            self._enqueue_step(self.node.answered(self._now(), tag, answer))
 
-    def _say(self, out: Out) -> None:
+    def _write_log(self, out: Out) -> None:
         for event, fields in out.lines:
             self.log.info(event, **fields)
--- a/otterquay/fleet/site_reconciler.py
+++ b/otterquay/fleet/site_reconciler.py
@@ -1,7 +1,7 @@
-"""The work of `capacity/SITE`: settle with the yard what came before, then see that the servers wanted are there.
+"""The duty `capacity/SITE`: settles earlier orders with the yard, then keeps the wanted number of servers running.
 
-Orders are in the group's state before they go to the yard, under ids of their own; whoever owns the duty next finds
-them there and finishes them under the same ids.
+Each order is committed to the group's state under its own id before it goes to the yard, so that the next owner of
+the duty finds it there and completes it under the same id.
 """
 
 from __future__ import annotations
@@ -21,41 +21,47 @@
 
 @dataclass(slots=True)
 class SiteReconciler:
-    """One ownership; it ends with its token."""
+    """The work of one ownership of the duty; it ends with its token."""
 
     site: str
     token: Token
-    want: Callable[[float, Mapping[str, int]], Mapping[str, int]]  # now, and what is alive by kind
-    every: float
-    ask: Ask
+    wanted_servers: Callable[
+        [float, Mapping[str, int]], Mapping[str, int]
+    ]  # of the time and the servers alive by kind
+    yard_interval: float
+    call_yard: Ask
     propose: Propose
     phase: str = "fence"
     books: dm.Books | None = None
-    reads: int = 0  # the number of the newest question for them
-    least: int = 0  # the first whose answer knows of all that this owner has done
-    listed: Listed | None = None
+    read_number: int = 0  # number of the newest request for books
+    min_read_number: int = 0  # first request whose answer reflects all of this owner's changes
+    listing: Listed | None = None
     errands: dict[str, Errand] = field(default_factory=dict)
-    numbers: int = 0
-    next_at: float = 0.0
+    last_order_number: int = 0
+    next_step_at: float = 0.0
     stale: bool = False
     asking: bool = False
     proposed_counts: dict[str, int] = field(
         default_factory=dict
-    )  # by kind, asked of the group and not yet answered
-    told: dict[str, int] = field(default_factory=dict)  # of ended servers, by kind
-    retire: float = 0.0  # seconds for which servers have to be too many; 0: never retired
-    sees_all: Callable[[float], bool] = lambda now: True  # whether no agent's demand can be missing from `want`
-    surplus: dict[str, tuple[float, int]] = field(default_factory=dict)  # since when, and the least meanwhile
+    )  # by kind, proposed to the group and not yet answered
+    reported_ended: dict[str, int] = field(
+        default_factory=dict
+    )  # total of ended servers reported to the group, by kind
+    retire_after: float = 0.0  # seconds for which servers must be surplus; 0: never retired
+    all_agents_heard: Callable[[float], bool] = lambda now: True  # whether the demand of every agent is known
+    surplus: dict[str, tuple[float, int]] = field(
+        default_factory=dict
+    )  # by kind: since when, and the minimum since then
 
     def step(self, now: float, beat: dm.SiteBeat | None, out: Out) -> bool:
-        """Go on; True when the group's books should be asked for."""
+        """Run what is due. Returns True if the group's books should be requested."""
         for errand in self.errands.values():
             errand.overdue(now)
             if request := errand.step(now):
-                self.ask(request, lambda at, answer, o, e=errand: self._ordered(at, e, answer, o), out)  # type: ignore[misc]
-        if now < self.next_at or self.asking:
+                self.call_yard(request, lambda at, answer, o, e=errand: self._order_answered(at, e, answer, o), out)  # type: ignore[misc]
+        if now < self.next_step_at or self.asking:
             return False
-        self.next_at = now + self.every
+        self.next_step_at = now + self.yard_interval
         match self.phase:
             case "fence":
                 self._list(now, "PUT", f"/sites/{self.site}/fence", beat, out)
@@ -63,129 +69,135 @@
                 self._found(now, beat, out)
             case "run":
                 if self.books is not None:
-                    self._order(now, out)
+                    self._order_missing(now, out)
                 self._list(now, "GET", f"/sites/{self.site}", beat, out)
                 return True
         return False
 
     def _list(self, now: float, method: str, path: str, beat: dm.SiteBeat | None, out: Out) -> None:
-        def listed(at: float, answer: Answer, o: Out) -> None:
+        def on_listed(at: float, answer: Answer, o: Out) -> None:
             self.asking = False
-            self.next_at = at + self.every  # answered: the wait was for an answer that does not come
+            self.next_step_at = at + self.yard_interval  # answered: replaces the timeout set below
             if answer.status == STALE:
                 self.stale = True
             if answer.status != 200:
                 return
             try:
-                self.listed = msgspec.json.decode(answer.body, type=Listed)
+                self.listing = msgspec.json.decode(answer.body, type=Listed)
             except msgspec.MsgspecError:
-                return  # spoilt: asked again
+                return  # malformed answer: listed again
             if self.phase == "fence":
                 self.phase = "found"
                 self._found(at, beat, o)
-            self._ended(at, o)
+            self._report_ended(at, o)
 
         self.asking = True
-        self.next_at = now + WAIT_S
-        self.ask(Request(method, path, self.token), listed, out)  # type: ignore[arg-type]
+        self.next_step_at = now + WAIT_S
+        self.call_yard(Request(method, path, self.token), on_listed, out)  # type: ignore[arg-type]
 
     def _found(self, now: float, beat: dm.SiteBeat | None, out: Out) -> None:
-        """All older tokens are refused by now: the list holds whatever they did."""
-        if self.listed is None or beat is None:
+        """Report the acts in the yard's list to the group; it is complete, as older tokens are refused by now."""
+        if self.listing is None or beat is None:
             return
         acts = [
             cm.Act(o.id, "order", o.kind, o.count, o.started)
-            for o in self.listed.orders
+            for o in self.listing.orders
             if Token.parse(o.token).term > 0
         ]
         pieces = [acts[i : i + cm.ACTS_MOST] for i in range(0, len(acts), cm.ACTS_MOST)] or [[]]
 
-        def done(at: float, result: cm.Result, o: Out) -> None:
+        def on_found_answered(at: float, result: cm.Result, o: Out) -> None:
             self.asking = False
             if result.ok and not pieces:
-                self.phase, self.next_at = "run", at
+                self.phase, self.next_step_at = "run", at
             elif result.ok:
-                following(at, o)
+                send_next_piece(at, o)
             else:
                 self.stale = True
 
-        def following(at: float, o: Out) -> None:
+        def send_next_piece(at: float, o: Out) -> None:
             piece = pieces.pop(0)
             last = not pieces
             command = cm.Found(duty_of(self.site), self.token, piece, beat.spent if last else 0, last)
-            self.asking = self.propose(at, command, done, o)
+            self.asking = self.propose(at, command, on_found_answered, o)
 
-        following(now, out)
+        send_next_piece(now, out)
 
-    def _ended(self, now: float, out: Out) -> None:
-        for kind, total in (self.listed.ended if self.listed else {}).items():
-            if total > self.told.get(kind, 0) and self.phase == "run":
-                self.told[kind] = total
+    def _report_ended(self, now: float, out: Out) -> None:
+        for kind, total in (self.listing.ended if self.listing else {}).items():
+            if total > self.reported_ended.get(kind, 0) and self.phase == "run":
+                self.reported_ended[kind] = total
                 self.propose(now, cm.Ended(duty_of(self.site), self.token, kind, total), lambda *_: None, out)
 
-    def booked(self, books: dm.Books, now: float, out: Out) -> None:
-        """The group's books: open orders are carried on, whoever wrote them.
+    def receive_books(self, books: dm.Books, now: float, out: Out) -> None:
+        """Take the group's books and continue all open orders, also those of earlier owners.
 
-        An answer to what was asked before this owner's last change is late: it would have what was done ordered
-        again.
+        Books requested before this owner's last change are ignored: they lack that change, and what was
+        done would be ordered again.
         """
-        if books.number < self.least:
+        if books.number < self.min_read_number:
             return
         self.books = books
         for name, order in books.orders.items():
             if order.open and name not in self.errands:
                 self.errands[name] = Errand(self.site, name, order.kind, order.count, self.token)
 
-    def _order(self, now: float, out: Out) -> None:
-        """Order what is missing: what is alive, on order, or asked for already is not ordered again."""
+    def _order_missing(self, now: float, out: Out) -> None:
+        """Order missing servers, counting those alive, on order or proposed; retire surplus ones."""
         assert self.books is not None
-        for kind, count in self.want(now, self.books.alive).items():
-            coming = self.proposed_counts.get(kind, 0) + sum(
-                e.count for e in self.errands.values() if e.kind == kind and not e.final
+        for kind, count in self.wanted_servers(now, self.books.alive).items():
+            pending_count = self.proposed_counts.get(kind, 0) + sum(
+                errand.count for errand in self.errands.values() if errand.kind == kind and not errand.final
+            )
+            pending_count += sum(
+                order.count
+                for name, order in self.books.orders.items()
+                if order.kind == kind and name not in self.errands
             )
-            coming += sum(o.count for n, o in self.books.orders.items() if o.kind == kind and n not in self.errands)
-            missing = count - self.books.alive.get(kind, 0) - coming
+            missing = count - self.books.alive.get(kind, 0) - pending_count
             missing = min(missing, self.books.room) if missing > 0 else missing
             if missing <= 0:
-                missing = -self._too_many(now, kind, -missing if coming == 0 else 0)
+                missing = -self._surplus_to_retire(now, kind, -missing if pending_count == 0 else 0)
             if missing:
-                self.numbers += 1
-                self._propose_order(now, f"{self.token}-{self.numbers}", kind, missing, out)
+                self.last_order_number += 1
+                self._propose_order(now, f"{self.token}-{self.last_order_number}", kind, missing, out)
 
-    def _too_many(self, now: float, kind: str, more: int) -> int:
-        """How many to retire now: the least that were too many for all of `retire`, with all agents heard."""
-        since, least = self.surplus.get(kind, (now, more))
-        if not (more and self.retire and self.sees_all(now)):
+    def _surplus_to_retire(self, now: float, kind: str, surplus_count: int) -> int:
+        """Return how many servers to retire: the minimum surplus over `retire_after`, all agents being heard."""
+        since, min_surplus = self.surplus.get(kind, (now, surplus_count))
+        if not (surplus_count and self.retire_after and self.all_agents_heard(now)):
             self.surplus.pop(kind, None)
             return 0
-        self.surplus[kind] = since, min(least, more)
-        if now - since < self.retire:
+        self.surplus[kind] = since, min(min_surplus, surplus_count)
+        if now - since < self.retire_after:
             return 0
         del self.surplus[kind]
-        return min(least, more)
+        return min(min_surplus, surplus_count)
 
     def _propose_order(self, now: float, name: str, kind: str, count: int, out: Out) -> None:
         self.proposed_counts[kind] = self.proposed_counts.get(kind, 0) + count
 
-        def written(at: float, result: cm.Result, o: Out) -> None:
+        def on_order_answered(at: float, result: cm.Result, o: Out) -> None:
             self.proposed_counts[kind] -= count
-            self._changed()
+            self._invalidate_books()
             if result.ok:
                 self.errands[name] = Errand(self.site, name, kind, count, self.token)
 
-        self.propose(now, cm.Order(duty_of(self.site), self.token, name, kind, count), written, out)
+        self.propose(now, cm.Order(duty_of(self.site), self.token, name, kind, count), on_order_answered, out)
 
-    def _changed(self) -> None:
-        self.books, self.least = None, self.reads + 1
+    def _invalidate_books(self) -> None:
+        self.books, self.min_read_number = None, self.read_number + 1
 
-    def _ordered(self, now: float, errand: Errand, answer: Answer, out: Out) -> None:
+    def _order_answered(self, now: float, errand: Errand, answer: Answer, out: Out) -> None:
         errand.answer(now, answer)
         self.stale = self.stale or errand.stale
         if not errand.final:
             return
 
-        def settled(at: float, result: cm.Result, o: Out) -> None:
+        def on_settled(at: float, result: cm.Result, o: Out) -> None:
             self.errands.pop(errand.id, None)
-            self._changed()
+            self._invalidate_books()
 
-        self.propose(now, cm.Settle(duty_of(self.site), self.token, errand.id, errand.started, True), settled, out)
+        self.propose(
+            now, cm.Settle(duty_of(self.site), self.token, errand.id, errand.started, True), on_settled, out
+        )
--- a/otterquay/fleet/yard_client.py
+++ b/otterquay/fleet/yard_client.py
@@ -1,4 +1,4 @@
-"""The yard over HTTP/1.1: one request a connection, bounded in time and size; no answer is an answer too."""
+"""HTTP/1.1 client of the yard: one request per connection, bounded in time and size."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 from otterquay.duties.errand import WAIT_S, Answer, Request
 from otterquay.protocol.http import ResponseParser, write_request
 
-HEAD_MOST, BODY_MOST = 16 * 1024, 4 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024
 
 
-async def ask(yard: str, agent: int, request: Request) -> Answer:
-    """Send a request; status 0 where no whole answer came."""
+async def send_request(yard: str, agent: int, request: Request) -> Answer:
+    """Send a request; the answer has status 0 if no complete answer came in time."""
     parts = urlsplit(yard)
     host, port = parts.hostname or "", parts.port or 80
     headers = [
@@ -33,7 +34,7 @@
         async with asyncio.timeout(WAIT_S):
             reader, writer = await asyncio.open_connection(host, port)
             writer.write(write_request(request.method.encode(), path.encode(), headers, request.body))
-            parser = ResponseParser(HEAD_MOST, BODY_MOST)
+            parser = ResponseParser(MAX_HEAD_BYTES, MAX_BODY_BYTES)
             while data := await reader.read(65536):
                 for answer in parser.feed(data):
                     tag = answer.headers.get(b"otterquay-fence") or answer.headers.get(b"etag", b"")
--- a/otterquay/runtimes/__init__.py
+++ b/otterquay/runtimes/__init__.py
@@ -1,1 +1,1 @@
-"""How long a class of requests runs on a kind of server, also on one not seen before. No I/O."""
+"""Estimates run times by request class and kind of server, including kinds not seen before. No I/O."""
--- a/otterquay/runtimes/evidence.py
+++ b/otterquay/runtimes/evidence.py
@@ -1,4 +1,4 @@
-"""A fleet's rows of run times as one agent holds them, and the table that the owner of `capacity` publishes."""
+"""The fleet's run-time rows as one agent holds them, and the table that the owner of `capacity` publishes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from otterquay.runtimes.model import fit
 
 EPOCH_S = 60.0
-SENT_MOST = 400  # rows in one message
-AGAIN_S = 1.0
+MAX_ROWS_PER_MESSAGE = 400
+RESEND_S = 1.0
 
 
-class Published(msgspec.Struct, array_like=True):
-    """The table: by class and kind median, low, high in ms and what they rest on; kinds that have changed, by
-    log.
+class RunTimeTable(msgspec.Struct, array_like=True):
+    """The published table: by class and kind the median, low and high in ms and their basis; and the kinds whose
+    run times changed, with the change in log time.
     """
 
     epoch: int
@@ -26,86 +26,88 @@
 
 
 class SharedEvidence:
-    """Rows of all agents, each at its newest version; our own among them. Times are seconds of our own clock."""
+    """Rows of all agents, this one included, each in its newest version. Times are seconds of the local clock."""
 
     def __init__(self, me: int, life: int, machines: Mapping[str, Machine]) -> None:
         self.me, self.life, self.machines = me, life, machines
         self.version = 0
-        self.published: Published | None = None
-        self.evidence = rw.Rows()
-        self._first = 0
-        self._sent: dict[rw.Key, int] = {}
-        self.changed: Callable[[dict[str, float]], None] = lambda kinds: None
+        self.published: RunTimeTable | None = None
+        self.rows = rw.Rows()
+        self._epoch_start = 0
+        self._sent_versions: dict[rw.Key, int] = {}
+        self.on_kinds_changed: Callable[[dict[str, float]], None] = lambda kinds: None
 
     def epoch(self, now: float) -> int:
-        """What the leader counts by; others go by what it tells them."""
-        self._first = self._first or int(now)
-        return self.evidence.newest + 1 if now - self._first >= EPOCH_S else self.evidence.newest
-
-    def begin(self, now: float, epoch: int) -> None:
-        """The group's epoch, as a beat tells it."""
-        if epoch > self.evidence.newest:
-            self.evidence.age(epoch)
-            self._first = int(now)
-
-    def reborn(self, life: int) -> None:
-        """This agent goes on under another life; what it noted stays under the one it was noted in."""
+        """Return the epoch by this agent's clock; the leader announces its own to all others."""
+        self._epoch_start = self._epoch_start or int(now)
+        return self.rows.newest + 1 if now - self._epoch_start >= EPOCH_S else self.rows.newest
+
+    def set_epoch(self, now: float, epoch: int) -> None:
+        """Enter the group's epoch, as announced by a heartbeat."""
+        if epoch > self.rows.newest:
+            self.rows.set_epoch(epoch)
+            self._epoch_start = int(now)
+
+    def set_incarnation(self, life: int) -> None:
+        """Continue under another incarnation; rows recorded so far keep theirs."""
         self.life = life
 
     def record(
         self, now: float, cls: str, kind: str, server: int, build: int, ms: float, alone: bool, timed_out: bool
     ) -> None:
-        """An attempt of our own has ended."""
-        key = rw.Key(self.me, self.life, self.evidence.newest, cls, kind, server, build)
-        self.evidence.record(key, ms, alone, timed_out)
-
-    def rows(self) -> bytes:
-        """Our rows that have changed since they were last sent, oldest first; empty for none."""
-        mine = [(k, r) for k, r in self.evidence.of(self.me) if self._sent.get(k, 0) < r.version][:SENT_MOST]
-        for key, row in mine:
-            self._sent[key] = row.version
-        if len(self._sent) > 2 * rw.MAX_ROWS:
-            self._sent = {k: v for k, v in self._sent.items() if k in self.evidence.rows}
-        return rw.encode(mine) if mine else b""
-
-    def all_again(self) -> None:
-        """Whoever listens now may have heard none of them."""
-        self._sent.clear()
+        """Record one of this agent's ended attempts."""
+        key = rw.Key(self.me, self.life, self.rows.newest, cls, kind, server, build)
+        self.rows.record(key, ms, alone, timed_out)
+
+    def changed_rows(self) -> bytes:
+        """Return this agent's rows changed since they were last sent, oldest first; empty if there are none."""
+        own_rows = [(k, r) for k, r in self.rows.rows_of(self.me) if self._sent_versions.get(k, 0) < r.version][
+            :MAX_ROWS_PER_MESSAGE
+        ]
+        for key, row in own_rows:
+            self._sent_versions[key] = row.version
+        if len(self._sent_versions) > 2 * rw.MAX_ROWS:
+            self._sent_versions = {k: v for k, v in self._sent_versions.items() if k in self.rows.rows}
+        return rw.encode(own_rows) if own_rows else b""
+
+    def resend_all(self) -> None:
+        """Send all rows again: a new receiver may have none of them."""
+        self._sent_versions.clear()
 
     def merge(self, data: bytes, sender: int) -> int:
-        """Rows of another agent; what is none is passed over whole. How many were news."""
+        """Merge another agent's rows and return how many were accepted; a malformed message is ignored."""
         try:
-            return self.evidence.merge(rw.decode(data), sender)
+            return self.rows.merge(rw.decode(data), sender)
         except ValueError:
             return 0
 
-    def told(self, version: int, table: bytes) -> None:
-        """The group's table."""
+    def receive_table(self, version: int, table: bytes) -> None:
+        """Adopt the group's table if it is newer and well-formed."""
         if version > self.version and table:
             try:
-                self.published = msgspec.msgpack.decode(table, type=Published)
+                self.published = msgspec.msgpack.decode(table, type=RunTimeTable)
             except ValueError:
                 return
             self.version = version
 
-    def table(self) -> bytes:
-        """A table from all rows held; empty where there are none."""
-        held = list(self.evidence.rows.items())
-        if not held:
+    def build_table(self) -> bytes:
+        """Fit a table to all rows; empty if there are none."""
+        all_rows = list(self.rows.rows.items())
+        if not all_rows:
             return b""
-        model, moved = fit(held, self.machines, self.evidence.newest)
-        if moved:
-            self.changed(moved)
+        model, changed_kinds = fit(all_rows, self.machines, self.rows.newest)
+        if changed_kinds:
+            self.on_kinds_changed(changed_kinds)
         times: dict[str, dict[str, tuple[float, float, float, str]]] = {}
         for cls in model.classes:
             for kind in sorted({*model.kinds, *self.machines}):
-                found = model.estimate(cls, kind)
-                if found.known:
-                    times.setdefault(cls, {})[kind] = (found.median, found.low, found.high, found.why)
-        return msgspec.msgpack.encode(Published(self.evidence.newest, times, moved))
+                estimate = model.estimate(cls, kind)
+                if estimate.known:
+                    times.setdefault(cls, {})[kind] = (estimate.median, estimate.low, estimate.high, estimate.why)
+        return msgspec.msgpack.encode(RunTimeTable(self.rows.newest, times, changed_kinds))
 
     def estimate(self, cls: str, kind: str) -> Estimate:
-        """From the table that was published last."""
+        """Return the estimate of the table published last."""
         row = self.published.times.get(cls, {}).get(kind) if self.published else None
         if row is None:
             return Estimate(float("nan"), float("nan"), float("nan"), "not in the fleet's table")
--- a/otterquay/runtimes/machine.py
+++ b/otterquay/runtimes/machine.py
@@ -1,4 +1,4 @@
-"""Kinds of servers as the settings describe them, and what is known of a run time."""
+"""Kinds of servers as configured, and estimates of run times."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """What is known of a kind beforehand; all may be missing."""
+    """The configured properties of a kind: family, and cores, clock in GHz and memory in GiB; all are optional."""
 
     family: str = ""
     specs: tuple[float | None, ...] = (None, None, None)
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """Milliseconds; `why` says what it rests on, or why nothing is known (then all three are NaN)."""
+    """A run time in milliseconds; `why` gives its basis, or why it is unknown (then all three values are NaN)."""
 
     median: float
     low: float
@@ -25,5 +25,5 @@
 
     @property
     def known(self) -> bool:
-        """Whether there is one."""
+        """Whether the run time is known."""
         return not math.isnan(self.median)
--- a/otterquay/runtimes/rows.py
+++ b/otterquay/runtimes/rows.py
@@ -1,9 +1,9 @@
-"""Evidence of run times as rows that merge: the same rows in any order, any number of times, give the same state.
+"""Run-time evidence as mergeable rows (a CRDT): merging is commutative, associative and idempotent.
 
-A row is one agent's, of one of its lives and one epoch, for a class, kind, server and build: counts by bin of the
-log of the time. It only grows, under a version of its own; of two with the same key the later version stands. What
-was cut off by a time-out is counted apart (it ran at least so long), and so is what had to wait behind other work
-(it ran at most so long): neither is left out, neither passes for a run time.
+A row belongs to one agent, incarnation and epoch, and to a class, kind, server and build. It holds histogram counts
+over the log of the time. A row only grows, under its own version; of two rows with the same key the higher version
+wins. Timed-out attempts (a lower bound of the run time) and attempts that queued behind others (an upper bound) are
+counted separately: neither is dropped nor taken for a run time.
 """
 
 from __future__ import annotations
@@ -17,28 +17,30 @@
 
 from otterquay.cores.bounds import Agent, Number
 
-BINS, STEP, LEAST_MS = 96, 0.125, 1.0  # from 1 ms on, each bin 13% longer: up to 160 s
-EPOCHS = 8  # kept; older ones count for nothing
+BIN_COUNT = 96
+BIN_WIDTH = 0.125  # in log time: each bin is 13% longer than the one before, up to 160 s
+MIN_MS = 1.0
+MAX_EPOCHS = 8  # kept; older ones are dropped
 MAX_ROWS = 20_000
-Bin = Annotated[int, Meta(ge=0, lt=BINS)]
+Bin = Annotated[int, Meta(ge=0, lt=BIN_COUNT)]
 Count = Annotated[int, Meta(ge=0, le=2**32)]
-Word = Annotated[str, Meta(min_length=1, max_length=32)]
+ShortText = Annotated[str, Meta(min_length=1, max_length=32)]
 
 
 class Key(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """What a row is about."""
+    """Identifies a row."""
 
     agent: Agent
     life: Number
     epoch: Number
-    cls: Word
-    kind: Word
+    cls: ShortText
+    kind: ShortText
     server: Number
     build: Number
 
 
 class Row(msgspec.Struct, array_like=True):
-    """Counts by bin: run alone, at most (it waited as well), at least (it was given up)."""
+    """Counts by bin: `exact` ran alone; `at_most` includes queueing; `at_least` was cut off by a timeout."""
 
     version: Number = 0
     exact: dict[Bin, Count] = {}
@@ -46,73 +48,73 @@
     at_least: dict[Bin, Count] = {}
 
 
-def bin_of(ms: float) -> int:
-    """The bin of a time; the ends take what is beyond."""
-    return min(max(int(math.log(max(ms, LEAST_MS) / LEAST_MS) / STEP), 0), BINS - 1)
+def bin_index(ms: float) -> int:
+    """Return the bin of a time; times out of range fall into the first or last bin."""
+    return min(max(int(math.log(max(ms, MIN_MS) / MIN_MS) / BIN_WIDTH), 0), BIN_COUNT - 1)
 
 
-def middle(at: int) -> float:
-    """The log of a bin's middle, in ms."""
-    return math.log(LEAST_MS) + (at + 0.5) * STEP
+def bin_center(index: int) -> float:
+    """Return the log of a bin's center, in ms."""
+    return math.log(MIN_MS) + (index + 0.5) * BIN_WIDTH
 
 
 class Rows:
-    """All rows that an agent holds."""
+    """All rows that an agent holds, its own and those received."""
 
     def __init__(self) -> None:
         self.rows: dict[Key, Row] = {}
-        self.newest = 0  # epoch
-        self.changes = 0  # how often anything was noted, taken or dropped
+        self.newest = 0  # newest epoch
+        self.changes = 0  # count of rows recorded, accepted or dropped
 
     def record(self, key: Key, ms: float, alone: bool, timed_out: bool) -> None:
-        """One more attempt of our own."""
+        """Record one of this agent's attempts."""
         if key not in self.rows and len(self.rows) >= MAX_ROWS:
             return
         row = self.rows.setdefault(key, Row())
         bins = row.at_least if timed_out else row.exact if alone else row.at_most
-        at = bin_of(ms)
-        bins[at] = bins.get(at, 0) + 1
+        index = bin_index(ms)
+        bins[index] = bins.get(index, 0) + 1
         row.version += 1
         self.changes += 1
 
-    def merge(self, told: Iterable[tuple[Key, Row]], sender: int | None = None) -> int:
-        """Take rows that are newer than what is held; how many were. A sender speaks for itself alone."""
-        taken = 0
-        for key, row in told:
+    def merge(self, received: Iterable[tuple[Key, Row]], sender: int | None = None) -> int:
+        """Accept rows newer than the known ones and return how many; a sender may only send its own rows."""
+        accepted = 0
+        for key, row in received:
             if sender is not None and key.agent != sender:
                 continue
-            held = self.rows.get(key)
+            known = self.rows.get(key)
             if (
-                (held is None or row.version > held.version)
-                and key.epoch > self.newest - EPOCHS
-                and (held is not None or len(self.rows) < MAX_ROWS)
+                (known is None or row.version > known.version)
+                and key.epoch > self.newest - MAX_EPOCHS
+                and (known is not None or len(self.rows) < MAX_ROWS)
             ):
                 self.rows[key] = row
-                taken += 1
-        self.changes += taken
-        return taken
+                accepted += 1
+        self.changes += accepted
+        return accepted
 
-    def age(self, epoch: int) -> None:
-        """Another epoch: what is too old goes."""
+    def set_epoch(self, epoch: int) -> None:
+        """Enter an epoch and drop rows that are too old."""
         self.newest = max(self.newest, epoch)
         self.changes += 1
-        for key in [k for k in self.rows if k.epoch <= self.newest - EPOCHS]:
+        for key in [k for k in self.rows if k.epoch <= self.newest - MAX_EPOCHS]:
             del self.rows[key]
 
-    def of(self, agent: int) -> list[tuple[Key, Row]]:
-        """One agent's rows."""
+    def rows_of(self, agent: int) -> list[tuple[Key, Row]]:
+        """Return one agent's rows in the order of their keys."""
         return sorted(((k, r) for k, r in self.rows.items() if k.agent == agent), key=lambda item: item[0])
 
 
-Told = list[tuple[Key, Row]]
-_DECODER: msgspec.msgpack.Decoder[Told] = msgspec.msgpack.Decoder(Told)
+KeyedRows = list[tuple[Key, Row]]
+_DECODER: msgspec.msgpack.Decoder[KeyedRows] = msgspec.msgpack.Decoder(KeyedRows)
 
 
-def encode(rows: Told) -> bytes:
-    """As bytes."""
+def encode(rows: KeyedRows) -> bytes:
+    """Encode rows."""
     return msgspec.msgpack.encode(rows)
 
 
-def decode(data: bytes) -> Told:
-    """From bytes; ValueError for what is none, or out of range."""
+def decode(data: bytes) -> KeyedRows:
+    """Decode rows. Raises ValueError if they are malformed or out of range."""
     return _DECODER.decode(data)
--- a/otterquay/runtimes/sizing.py
+++ b/otterquay/runtimes/sizing.py
@@ -1,4 +1,4 @@
-"""How many servers of a kind a site needs, so that its work fits with a margin at the interval's upper end."""
+"""Computes how many servers of a kind a site needs, with a margin, from the upper bounds of run times."""
 
 from __future__ import annotations
 
@@ -11,42 +11,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizing:
-    """`margin`: the part of a server's time that stays free. A fall is followed once it is `slack` of what runs."""
+    """`margin` is the share of server time kept free; the count falls only once it drops by the share `slack`."""
 
     margin: float = 0.3
     slack: float = 0.25
-    least: int = 1
+    min_servers: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """Servers wanted of a kind, and why."""
+    """The number of servers needed of a kind, and why."""
 
     count: int
     why: str
-    known: bool = True  # the run times of all that is asked for are
+    known: bool = True  # whether the run times of all requested classes are known
 
 
-def needed(
+def servers_needed(
     demand: Mapping[str, float],
     times: Mapping[str, Estimate],
     cores: float,
-    have: int,
+    running: int,
     sizing: Sizing,
 ) -> Need:
-    """For so many requests a second by class on servers of one kind with that many cores, of which `have` run.
+    """Return the servers needed for `demand` requests per second by class, on one kind with that many cores.
 
-    A class with an unknown run time asks for the least number: what runs there teaches.
+    While the run time of a class is unknown, the count rises above neither `running` nor the minimum: those servers
+    measure it first.
     """
     unknown = [cls for cls, rate in demand.items() if rate > 0 and not (cls in times and times[cls].known)]
-    busy = sum(rate * times[cls].high / 1e3 for cls, rate in demand.items() if cls not in unknown and rate > 0)
-    count = max(math.ceil(busy / (cores * (1.0 - sizing.margin))), sizing.least)
+    core_time = sum(rate * times[cls].high / 1e3 for cls, rate in demand.items() if cls not in unknown and rate > 0)
+    count = max(math.ceil(core_time / (cores * (1.0 - sizing.margin))), sizing.min_servers)
     if unknown:
         return Need(
-            max(min(count, have) if have else sizing.least, sizing.least),
-            f"run times of {', '.join(sorted(unknown))} are unknown: no more than the least, to learn from",
+            max(min(count, running) if running else sizing.min_servers, sizing.min_servers),
+            f"run times of {', '.join(sorted(unknown))} are unknown: no more than the minimum, to measure them",
             False,
         )
-    if have and have * (1.0 - sizing.slack) < count <= have:
-        return Need(have, "within what runs")
-    return Need(count, f"{busy:.2f} of a core's time are asked for")
+    if running and running * (1.0 - sizing.slack) < count <= running:
+        return Need(running, "within the hysteresis band")
+    return Need(count, f"demand is {core_time:.2f} cores")
--- a/otterquay/sites/__init__.py
+++ b/otterquay/sites/__init__.py
@@ -1,4 +1,4 @@
-"""Sites: how agents that have lost the group go on, under one of themselves, within what was allowed beforehand.
+"""Sites: agents that lost the group elect a coordinator, which acts within an allowance granted beforehand.
 
-No I/O. A site is a zone; its upstream is the group's majority.
+No I/O. A site is a zone; its upstream is the majority of the group.
 """
--- a/otterquay/sites/journal.py
+++ b/otterquay/sites/journal.py
@@ -1,4 +1,4 @@
-"""A coordinator's journal: each act is on its disk before it takes effect, until the group has taken it."""
+"""A coordinator's journal: each act is persisted before it takes effect and kept until its handover."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from otterquay.duties.token import Token
 
 JOURNAL = "site-journal"
-ACTS_KEPT = 1024  # acts of one coordinator; at the bound it orders and lowers no further
+MAX_JOURNAL_ACTS = 1024  # per coordinator; beyond this it neither orders nor lowers caps
 
 
 def _key(token: Token, number: int) -> bytes:
@@ -19,9 +19,7 @@
 
 
 class Journal:
-    """Acts by coordinator's token; a token with no act yet has a mark, so that its journal is handed over as
-    well.
-    """
+    """Acts by coordinator's token. Each token has an empty entry 0, so even an empty journal is handed over."""
 
     def __init__(self, rows: Iterable[tuple[bytes, bytes]] = ()) -> None:
         self.acts: dict[Token, dict[int, Act | None]] = {}
@@ -30,36 +28,36 @@
             act: Act | None = msgspec.msgpack.decode(value, type=Act | None)
             self.acts.setdefault(token, {})[int.from_bytes(key[16:])] = act
 
-    def begin(self, token: Token, out: Out) -> None:
-        """A coordinator's first word."""
+    def open_term(self, token: Token, out: Out) -> None:
+        """Open the journal of a new coordinator."""
         self._put(token, 0, None, out)
 
     def _put(self, token: Token, number: int, act: Act | None, out: Out) -> None:
         self.acts.setdefault(token, {})[number] = act
         out.write(JOURNAL, _key(token, number), msgspec.msgpack.encode(act))
 
-    def full(self, token: Token) -> bool:
-        """Whether it takes no more."""
-        return len(self.acts.get(token, ())) > ACTS_KEPT
+    def is_full(self, token: Token) -> bool:
+        """Whether no more acts are accepted."""
+        return len(self.acts.get(token, ())) > MAX_JOURNAL_ACTS
 
     def add(self, token: Token, act: Act, out: Out) -> int:
-        """One more act; its number."""
+        """Append an act and return its number."""
         number = max(self.acts.get(token, {0: None})) + 1
         self._put(token, number, act, out)
         return number
 
     def update(self, token: Token, number: int, act: Act, out: Out) -> None:
-        """What became of an act."""
+        """Replace an act by its newer state."""
         if number in self.acts.get(token, {}):
             self._put(token, number, act, out)
 
     def pieces(self, token: Token) -> list[list[Act]]:
-        """The acts that may have taken effect, in pieces that fit a command; one empty piece for none."""
+        """Return the acts that may have taken effect, in pieces that fit a command; at least one, maybe empty."""
         known = [act for _, act in sorted(self.acts.get(token, {}).items()) if act]
         acts = [act for act in known if act.sent or act.what == "cap"]
         return [acts[i : i + ACTS_MOST] for i in range(0, len(acts), ACTS_MOST)] or [[]]
 
-    def drop(self, token: Token, out: Out) -> None:
-        """The group has taken it."""
+    def remove(self, token: Token, out: Out) -> None:
+        """Remove a journal after its handover."""
         for number in self.acts.pop(token, {}):
             out.write(JOURNAL, _key(token, number), None)
--- a/otterquay/sites/messages.py
+++ b/otterquay/sites/messages.py
@@ -1,4 +1,4 @@
-"""Words between the agents of a site."""
+"""Messages between the agents of a site."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class Word(msgspec.Struct, tag="word", array_like=True, frozen=True):
-    """Told to all others of the site: how long ago the group was heard, and which start of the agent this is."""
+    """Periodic liveness message: how long ago the group was heard, and the sender's incarnation."""
 
     heard: Seconds
     life: Number
 
 
 class Ask(msgspec.Struct, tag="ask", array_like=True, frozen=True):
-    """Make me the site's coordinator under this token; with `pre`, would you?"""
+    """Requests a vote for the sender as coordinator under this token; with `pre`, a non-binding pre-vote."""
 
     token: Token
     pre: bool
 
 
 class Answer(msgspec.Struct, tag="answer", array_like=True, frozen=True):
-    """Yes or no, the newest token that the voter knows, and what it knows of the allowance and the caps."""
+    """Answers an `Ask`: the vote, the newest token known to the voter, and its view of allowance and caps."""
 
     token: Token
     pre: bool
@@ -41,7 +41,7 @@
 
 
 class Lead(msgspec.Struct, tag="lead", array_like=True, frozen=True):
-    """The coordinator's beat: what is reserved of the allowance by now, and the caps that hold in the site."""
+    """The coordinator's heartbeat: the part of the allowance reserved so far, and the site's caps."""
 
     token: Token
     number: Number
@@ -50,7 +50,7 @@
 
 
 class Followed(msgspec.Struct, tag="followed", array_like=True, frozen=True):
-    """A beat is written down (ok), or the agent knows a newer token."""
+    """Answers a `Lead`: it is persisted (ok), or the agent knows a newer token."""
 
     token: Token
     number: Number
@@ -60,19 +60,19 @@
 
 
 class Older(msgspec.Struct, tag="older", array_like=True, frozen=True):
-    """Your disk is an older copy: I have heard you in this life."""
+    """The receiver's disk is an older copy: the sender has heard it in this later incarnation."""
 
     life: Number
 
 
 class Released(msgspec.Struct, tag="released", array_like=True, frozen=True):
-    """The coordinator has stopped acting: the group is back."""
+    """The coordinator has stopped acting."""
 
     token: Token
 
 
 class Ballot(msgspec.Struct, tag="ballot", array_like=True, frozen=True):
-    """An agent's verdict on a build, for the coordinator to count: back, or not (any more)."""
+    """An agent's verdict on a build, counted by the coordinator: back, or not (any more)."""
 
     build: Number
     back: bool
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -1,8 +1,8 @@
-"""What every transport between agents must do, written once: real sockets, a relay, the simulated loop, in memory.
+"""The contract of transports between agents, run on real sockets, through a relay and on the simulated loop.
 
-A message arrives whole, once, from whom it says, or not at all; those of one sender that arrive keep their order on
-a quiet wire; nothing from a stranger, another group, another receiver or a recording arrives. Broken transports are
-among them, and must fail.
+A message arrives complete, once and from its stated sender, or not at all. Messages of one sender keep their order
+on a link without faults. Frames of strangers, other groups, other receivers or recordings are rejected.
+Deliberately broken transports must fail the contract.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from otterquay.logs import silent
 
 KEY, GROUP = bytes(range(32)), 77
-Heard = list[tuple[int, bytes]]
+Received = list[tuple[int, bytes]]
 
 
 class Net(Protocol):
-    """Two agents, 0 and 1, and what agent 1 heard."""
+    """Two agents, 0 and 1, and the messages that agent 1 received."""
 
-    heard: Heard
+    received: Received
 
     async def start(self) -> None: ...
 
@@ -36,19 +36,19 @@
     async def settle(self, count: int) -> None: ...
 
     async def inject(self, make: Callable[[bytes], bytes]) -> None:
-        """Bytes of a stranger's connection to agent 1, made from the nonce that it is told."""
+        """Send bytes to agent 1 on a stranger's connection; `make` gets the connection's nonce."""
 
     def close(self) -> None: ...
 
 
 class Sockets:
-    """Two transports on the running loop, real or simulated; perhaps a relay between them."""
+    """Two transports on the running loop, real or simulated, optionally with a relay between them."""
 
     relayed = False
     port = 0
 
     def __init__(self) -> None:
-        self.heard: Heard = []
+        self.received: Received = []
         self.relay: FrameRelay | None = None
 
     async def start(self) -> None:
@@ -60,7 +60,7 @@
             GROUP,
             KEY,
             rng,
-            lambda sender, data: self.heard.append((sender, data)),
+            lambda sender, data: self.received.append((sender, data)),
             silent(),
         )
         self.at = await self.one.start()
@@ -75,7 +75,7 @@
 
     async def settle(self, count: int) -> None:
         for _ in range(400):
-            if len(self.heard) >= count:
+            if len(self.received) >= count:
                 break
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
@@ -94,7 +94,7 @@
 
 
 class Relayed(Sockets):
-    """Through the laboratory's relay."""
+    """Through the lab's relay."""
 
     relayed = True
 
@@ -103,39 +103,39 @@
     """On the simulated loop."""
 
 
-class NoTag(Sockets):
-    """Broken: takes frames whose tag does not fit."""
+class WithoutTagCheck(Sockets):
+    """Broken: accepts frames with a wrong tag."""
 
     async def start(self) -> None:
         await super().start()
         self.one.key = KEY
         import otterquay.fleet.transport as tr
 
-        self.opened = tr.Reader.open
+        self.opened = tr.FrameVerifier.open
 
-        def trusting(reader: Any, frame: bytes) -> tuple[int, bytes]:
+        def open_unchecked(reader: Any, frame: bytes) -> tuple[int, bytes]:
             return HEADER.unpack_from(frame)[2], frame[HEADER.size : -TAG_BYTES]
 
-        tr.Reader.open = trusting  # type: ignore[method-assign]
+        tr.FrameVerifier.open = open_unchecked  # type: ignore[method-assign]
 
     def close(self) -> None:
         import otterquay.fleet.transport as tr
 
-        tr.Reader.open = self.opened  # type: ignore[method-assign]
+        tr.FrameVerifier.open = self.opened  # type: ignore[method-assign]
         super().close()
 
 
-class Twice(Sockets):
-    """Broken: hands each message on twice."""
+class DeliversTwice(Sockets):
+    """Broken: delivers each message twice."""
 
     async def start(self) -> None:
         await super().start()
-        heard = self.one.heard
-        self.one.heard = lambda sender, data: (heard(sender, data), heard(sender, data))[0]
+        on_message = self.one.on_message
+        self.one.on_message = lambda sender, data: (on_message(sender, data), on_message(sender, data))[0]
 
 
 def run(net: Net, work: Callable[[Net], Awaitable[None]]) -> None:
-    async def whole() -> None:
+    async def run_and_close() -> None:
         await net.start()
         try:
             await work(net)
@@ -143,21 +143,21 @@
             net.close()
 
     if isinstance(net, Simulated):
-        simulate(whole(), 1)
+        simulate(run_and_close(), 1)
     else:
-        asyncio.run(whole())
+        asyncio.run(run_and_close())
 
 
 # --- the contract ---
-async def whole_once_in_order(net: Net) -> None:
+async def delivers_each_message_once_in_order(net: Net) -> None:
     sent = [b"%d" % i + b"x" * (i * 997 % 70_000) for i in range(60)]
     for payload in sent:
         net.send(payload)
     await net.settle(len(sent))
-    assert net.heard == [(0, payload) for payload in sent]
+    assert net.received == [(0, payload) for payload in sent]
 
 
-async def nothing_from_strangers(net: Net) -> None:
+async def rejects_foreign_frames(net: Net) -> None:
     nonces: list[bytes] = []
 
     def frame(**more: Any) -> Callable[[bytes], bytes]:
@@ -192,32 +192,37 @@
     await net.inject(lambda nonce: b"")
     recorded = seal(KEY, nonces[0], GROUP, 0, 1, 5, b"recorded")
     await net.inject(lambda nonce: recorded)
-    assert net.heard == []
+    assert net.received == []
     net.send(b"still here")
     await net.settle(1)
-    assert net.heard == [(0, b"still here")]
+    assert net.received == [(0, b"still here")]
 
 
-async def a_repeated_frame_counts_once(net: Net) -> None:
+async def accepts_a_repeated_frame_once(net: Net) -> None:
     def make(nonce: bytes) -> bytes:
         one, two = (seal(KEY, nonce, GROUP, 0, 1, n, b"%d" % n) for n in (1, 2))
         return two + one + two + one
 
     await net.inject(make)
     await net.settle(2)
-    assert sorted(net.heard) == [(0, b"1"), (0, b"2")]
+    assert sorted(net.received) == [(0, b"1"), (0, b"2")]
 
 
-async def too_much_drops_the_oldest(net: Net) -> None:
+async def drops_the_oldest_on_overflow(net: Net) -> None:
     for i in range(2000):
         net.send(b"%d" % i)
     await net.settle(512)
-    assert net.heard[-1] == (0, b"1999") and len(net.heard) <= 600
-    numbers = [int(data) for _, data in net.heard]
+    assert net.received[-1] == (0, b"1999") and len(net.received) <= 600
+    numbers = [int(data) for _, data in net.received]
     assert numbers == sorted(set(numbers))
 
 
-CONTRACT = [whole_once_in_order, nothing_from_strangers, a_repeated_frame_counts_once, too_much_drops_the_oldest]
+CONTRACT = [
+    delivers_each_message_once_in_order,
+    rejects_foreign_frames,
+    accepts_a_repeated_frame_once,
+    drops_the_oldest_on_overflow,
+]
 
 
 @pytest.mark.parametrize("clause", CONTRACT, ids=lambda c: c.__name__)
@@ -228,7 +233,11 @@
 
 @pytest.mark.parametrize(
     ("kind", "clause"),
-    [(NoTag, nothing_from_strangers), (NoTag, a_repeated_frame_counts_once), (Twice, whole_once_in_order)],
+    [
+        (WithoutTagCheck, rejects_foreign_frames),
+        (WithoutTagCheck, accepts_a_repeated_frame_once),
+        (DeliversTwice, delivers_each_message_once_in_order),
+    ],
 )
 def test_a_broken_transport_does_not(kind: type[Any], clause: Any) -> None:
     with pytest.raises(AssertionError):
@@ -244,11 +253,11 @@
         wire.cuts, wire.repeat = 0, 1.0
         net.send(b"once")
         await net.settle(1)
-        assert net.heard == [(0, b"once")], "a repeated frame is refused by its number"
+        assert net.received == [(0, b"once")], "a repeated frame number is refused"
         wire.repeat, wire.late_s = 0.0, 0.1
         for i in range(20):
             net.send(b"%d" % i)
         await net.settle(21)
-        assert sorted(net.heard[1:]) == sorted((0, b"%d" % i) for i in range(20))
+        assert sorted(net.received[1:]) == sorted((0, b"%d" % i) for i in range(20))
 
     run(Relayed(), work)
--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -1,4 +1,4 @@
-"""What a read of the group's books cannot say, by what was answered before it was asked; and late answers."""
+"""Linearizability of reads of the group's books: what an answer must contain, and answers that come late."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     return dm.Books("north", orders, {"x": 4}, {"north": granted}, {"north": 0}, 9, number)
 
 
-def told() -> Reads:
-    """An order written by 1.0, a site handed 5 by 2.0; questions 1 to 3 of agent 7 left at 0.5, 1.5 and 2.5."""
+def example_reads() -> Reads:
+    """An order committed at 1.0, an allowance of 5 at 2.0; agent 7 sends reads 1 to 3 at 0.5, 1.5 and 2.5."""
     reads = Reads()
     for number, at in ((1, 0.5), (2, 1.5), (3, 2.5)):
         reads.left(at, 7, dm.AskBooks("north", number))
@@ -30,46 +30,46 @@
 
 
 def test_a_read_has_what_was_answered_before_it_was_asked() -> None:
-    assert not told().answered(3.0, 7, books(1, {})), "the order came after the question"
-    assert not told().answered(3.0, 7, books(2, {"o1": OPEN}))
-    assert "not in north's books" in told().answered(3.0, 7, books(2, {}))[0]
-    assert "handed 5" in told().answered(3.0, 7, books(3, {"o1": OPEN}, 4))[0]
-    assert not told().answered(3.0, 7, books(3, {"o1": OPEN}, 5))
-    assert not told().answered(3.0, 8, books(2, {})), "when that agent asked is not known"
+    assert not example_reads().answered(3.0, 7, books(1, {})), "the order was committed after the read was sent"
+    assert not example_reads().answered(3.0, 7, books(2, {"o1": OPEN}))
+    assert "not in north's books" in example_reads().answered(3.0, 7, books(2, {}))[0]
+    assert "handed 5" in example_reads().answered(3.0, 7, books(3, {"o1": OPEN}, 4))[0]
+    assert not example_reads().answered(3.0, 7, books(3, {"o1": OPEN}, 5))
+    assert not example_reads().answered(3.0, 8, books(2, {})), "agent 8 sent no read"
 
 
 def test_an_order_may_be_gone_once_its_closing_was_asked_for_and_must_be_once_that_was_answered() -> None:
-    reads = told()
+    reads = example_reads()
     closing = cm.Settle(NORTH, TOKEN, "o1", 2, True)
     reads.left(2.0, 7, dm.Propose(cm.Proposal(7, 1, 1, closing)))
     assert not reads.answered(3.0, 7, books(2, {})) and not reads.answered(3.0, 7, books(2, {"o1": OPEN}))
     reads.settled(2.2, closing)
-    assert not reads.answered(3.0, 7, books(2, {"o1": OPEN})), "asked before that"
+    assert not reads.answered(3.0, 7, books(2, {"o1": OPEN})), "the read was sent before the closing was answered"
     assert "was closed by" in reads.answered(3.0, 7, books(3, {"o1": OPEN}, 5))[0]
 
 
 def test_an_owner_passes_over_books_that_were_asked_for_before_its_last_change() -> None:
-    """On slow links an answer came after the order it knows nothing of was done: the same was ordered again."""
+    """Guards against ordering twice: on slow links, books without an order arrived after the order was done."""
     ordered: list[cm.Command] = []
 
-    def propose(now: float, command: cm.Command, told: object, out: Out) -> bool:
+    def propose(now: float, command: cm.Command, example_reads: object, out: Out) -> bool:
         ordered.append(command)
-        assert callable(told)
-        told(now, cm.Result(True), out)
+        assert callable(example_reads)
+        example_reads(now, cm.Result(True), out)
         return True
 
-    work = SiteReconciler(
-        "north", TOKEN, lambda now, alive: {"x": 6}, 1.0, lambda *_: None, propose, "run", reads=1
+    reconciler = SiteReconciler(
+        "north", TOKEN, lambda now, alive: {"x": 6}, 1.0, lambda *_: None, propose, "run", read_number=1
     )
-    work.booked(books(1, {}), 0.0, Out())
-    work._order(0.1, Out())
-    assert len(ordered) == 1 and work.books is None
-    errand = next(iter(work.errands.values()))
+    reconciler.receive_books(books(1, {}), 0.0, Out())
+    reconciler._order_missing(0.1, Out())
+    assert len(ordered) == 1 and reconciler.books is None
+    errand = next(iter(reconciler.errands.values()))
     errand.final, errand.started = True, 2
-    work._ordered(0.5, errand, Answer(0), Out())
-    assert not work.errands, "done and settled"
-    work.reads = 2
-    work.booked(books(1, {}), 3.0, Out())
-    assert work.books is None, "of before"
-    work.booked(books(2, {}), 3.1, Out())
-    assert work.books is not None
+    reconciler._order_answered(0.5, errand, Answer(0), Out())
+    assert not reconciler.errands, "the order is done and settled"
+    reconciler.read_number = 2
+    reconciler.receive_books(books(1, {}), 3.0, Out())
+    assert reconciler.books is None, "these books were requested before the last change"
+    reconciler.receive_books(books(2, {}), 3.1, Out())
+    assert reconciler.books is not None
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""Blocks of the fleet's work that cannot hold are refused with block and remedy; nothing of it is in `run`."""
+"""Invalid fleet-work blocks are refused with block and remedy; `run` without them loads no fleet-work module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from otterquay.config import ConfigError, parse_service
-from otterquay.fleet.build import plan_of
+from otterquay.fleet.build import plan_from_settings
 
 ROOT = Path(__file__).parents[2]
 BASE = (
@@ -29,15 +29,17 @@
 
 
 def test_the_blocks_make_a_plan() -> None:
-    plan = plan_of(parse_service(BASE + GROUP + CAPACITY + 'machine "3" {\n  family = "f"\n  cores = 4\n}\n'))
+    plan = plan_from_settings(
+        parse_service(BASE + GROUP + CAPACITY + 'machine "3" {\n  family = "f"\n  cores = 4\n}\n')
+    )
     assert plan.members == (0, 1, 2) and plan.agents_of("north") == (0, 3) and plan.wanted["north"] == {"a": 3}
     assert plan.machines["3"].family == "f" and plan.terms.lease == 4.0 and plan.site_times.lost == 4.0
     with pytest.raises(ValueError, match="no block group"):
-        plan_of(parse_service(BASE))
+        plan_from_settings(parse_service(BASE))
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("members = [0, 1, 2]", "members = [0, 1]", "an even number bears no more"),
         ("members = [0, 1, 2]", "members = [0, 1, 1]", "three or five different"),
@@ -57,10 +59,10 @@
         ('zone   = "north"', 'zone   = "south"', "but agent.zone is"),
     ],
 )
-def test_blocks_that_cannot_hold_are_refused_with_their_remedy(old: str, new: str, said: str) -> None:
+def test_blocks_that_cannot_hold_are_refused_with_their_remedy(old: str, new: str, message: str) -> None:
     text = BASE + GROUP + CAPACITY
     assert old in text
-    with pytest.raises(ConfigError, match=said):
+    with pytest.raises(ConfigError, match=message):
         parse_service(text.replace(old, new, 1))
 
 
--- a/tests/fleet/test_settlement.py
+++ b/tests/fleet/test_settlement.py
@@ -1,4 +1,4 @@
-"""A coordinator that died took its journal with it: the yard's own list settles what it did."""
+"""A coordinator's journal is lost with its disk: the yard's list of orders has to account for its acts."""
 
 from __future__ import annotations
 
@@ -7,21 +7,23 @@
 from otterquay.lab.fleetsim.world import YARD, Sim
 
 
-def cut_and_lost(sim: Sim) -> None:
-    """A site is cut off, its coordinator orders, and then is gone with its disk; the link heals."""
+def lose_coordinator_and_disk(sim: Sim) -> None:
+    """Cut off a site, let its coordinator order, kill it and wipe its disk, then reconnect the site."""
     for number in sim.hosts:
         sim.start(number)
     assert sim.run(60.0, sim.rests)
     sim.run(sim.now + 5.0)
-    inside = sim.plan.agents_of("north")
-    heal = sim.links.cut([(a, b) for a in sim.hosts for b in sim.hosts if (a in inside) != (b in inside)])
+    northern_agents = sim.plan.agents_of("north")
+    reconnect = sim.links.cut(
+        [(a, b) for a in sim.hosts for b in sim.hosts if (a in northern_agents) != (b in northern_agents)]
+    )
     sim.yard.end("north", "x", 3)
     assert sim.run(sim.now + 40.0, lambda: any(t.term for t in sim.yard.site("north").first.values()))
     sim.run(sim.now + 1.0)
     leader = next(agent for (site, _), agent in sim.judge.leads.items() if site == "north")
     sim.kill(leader)
     sim.hosts[leader].disk = {}
-    heal()
+    reconnect()
     sim.run(sim.now + 20.0)
     sim.start(leader)
     sim.run(sim.now + 60.0, sim.rests)
@@ -42,7 +44,7 @@
 
 def test_the_yards_list_settles_what_a_lost_coordinator_did() -> None:
     sim = Sim(PLAN, 3)
-    cut_and_lost(sim)
+    lose_coordinator_and_disk(sim)
     assert not any(sim.judge.counts.values()), sim.judge.notes
     books = sim.leader().duties.whole  # type: ignore[union-attr]
     assert books.acts >= 1 and books.sites["north"].spent >= 3 and books.sites["north"].floor.group > 3
@@ -52,5 +54,5 @@
 def test_without_the_settlement_its_orders_are_lost() -> None:
     with MUTANTS["no settlement with the yard's list"][1]():
         sim = Sim(PLAN, 3)
-        cut_and_lost(sim)
+        lose_coordinator_and_disk(sim)
     assert sim.judge.counts["acts_lost"] > 0
