--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -45,13 +45,11 @@
     number: int = 0
     pending: dict[tuple[int, int, int], int | None] = field(default_factory=dict)
     statuses: dict[int, ReceivedStatus] = field(default_factory=dict)
-    blocked_since: dict[str, float] = field(
-        default_factory=dict
-    )  # by site: since when claims of its duty are refused
+    # by site: since when claims of its duty are refused
+    blocked_since: dict[str, float] = field(default_factory=dict)
     chief: Chief | None = None  # assigns posts; a new one in each term
-    relieved_until: dict[tuple[str, int], float] = field(
-        default_factory=dict
-    )  # by duty and agent: when it may claim again
+    # by duty and agent: when it may claim again
+    relieved_until: dict[tuple[str, int], float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.leases = Book(self.plan.terms)
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -48,11 +48,8 @@
 TABLES = (META, KNOWN, LOG, SITE, JOURNAL, NODE_TABLE)
 GROUP_MESSAGES = gm.KINDS
 SITE_MESSAGES = sm.KINDS
-DIRECT_MESSAGES = (
-    dm.Relayed,
-    *GROUP_MESSAGES,
-    *SITE_MESSAGES,
-)  # accepted only from the sender itself, never relayed
+# accepted only from the sender itself, never relayed
+DIRECT_MESSAGES = (dm.Relayed, *GROUP_MESSAGES, *SITE_MESSAGES)
 
 
 @dataclass(slots=True)
@@ -149,9 +146,8 @@
             return out
         self.now = now
         for tag in [tag for tag, call in self.pending_calls.items() if now >= call.deadline]:
-            self.pending_calls.pop(tag).on_answer(
-                now, Answer(0), out
-            )  # timed out: the request may have taken effect or not
+            # timed out: the request may have taken effect or not
+            self.pending_calls.pop(tag).on_answer(now, Answer(0), out)
         if self.member and self.leader_service:
             self.member.tick(now, out)
             self.leader_service.tick(now, out)
--- a/otterquay/fleet/plan.py
+++ b/otterquay/fleet/plan.py
@@ -37,9 +37,8 @@
     wanted: Mapping[str, Mapping[str, int]]
     back_votes: int = 1
     machines: Mapping[str, Machine] = field(default_factory=dict)
-    demand_driven_kinds: Mapping[str, str] = field(
-        default_factory=dict
-    )  # by site: the kind whose number follows demand
+    # by site: the kind whose number follows demand
+    demand_driven_kinds: Mapping[str, str] = field(default_factory=dict)
     sizing: Sizing = field(default_factory=Sizing)
     intervals: Intervals = field(default_factory=Intervals)
     terms: Terms = field(default_factory=Terms)
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -51,7 +51,7 @@
         self.plan, self.yard, self.store, self.rng, self.log = plan, yard, store, rng, log
         self.transport = Transport(plan.me, listen, addresses, group, key, rng, self._message_received, log)
         self.node: Node | None = None
-        self.on_caps_changed: Callable[[], None] = lambda: None  # called when caps change
+        self.on_caps_changed: Callable[[], None] = lambda: None  # reposts the newest stage
         self._queued_steps: asyncio.Queue[Out] = asyncio.Queue(MAX_QUEUED_STEPS)
         self._tasks: set[asyncio.Task[Any]] = set()
         self._timer: asyncio.TimerHandle | None = None
--- a/otterquay/fleet/site_reconciler.py
+++ b/otterquay/fleet/site_reconciler.py
@@ -25,9 +25,8 @@
 
     site: str
     token: Token
-    wanted_servers: Callable[
-        [float, Mapping[str, int]], Mapping[str, int]
-    ]  # of the time and the servers alive by kind
+    # of the time and the servers alive by kind
+    wanted_servers: Callable[[float, Mapping[str, int]], Mapping[str, int]]
     yard_interval: float
     call_yard: Ask
     propose: Propose
@@ -41,17 +40,14 @@
     next_step_at: float = 0.0
     stale: bool = False
     asking: bool = False
-    proposed_counts: dict[str, int] = field(
-        default_factory=dict
-    )  # by kind, proposed to the group and not yet answered
-    reported_ended: dict[str, int] = field(
-        default_factory=dict
-    )  # total of ended servers reported to the group, by kind
+    # by kind, proposed to the group and not yet answered
+    proposed_counts: dict[str, int] = field(default_factory=dict)
+    # total of ended servers reported to the group, by kind
+    reported_ended: dict[str, int] = field(default_factory=dict)
     retire_after: float = 0.0  # seconds for which servers must be surplus; 0: never retired
     all_agents_heard: Callable[[float], bool] = lambda now: True  # whether the demand of every agent is known
-    surplus: dict[str, tuple[float, int]] = field(
-        default_factory=dict
-    )  # by kind: since when, and the minimum since then
+    # by kind: since when, and the minimum since then
+    surplus: dict[str, tuple[float, int]] = field(default_factory=dict)
 
     def step(self, now: float, beat: dm.SiteBeat | None, out: Out) -> bool:
         """Run what is due. Returns True if the group's books should be requested."""
--- a/otterquay/runtimes/model.py
+++ b/otterquay/runtimes/model.py
@@ -106,9 +106,8 @@
     kinds: list[str] = field(default_factory=list)
     families: list[str] = field(default_factory=list)
     stds: dict[str, float] = field(default_factory=lambda: dict(MIN_STD))
-    builds: dict[int, float] = field(
-        default_factory=dict
-    )  # log factors relative to the reference, the most common build
+    # log factors relative to the reference, the most common build
+    builds: dict[int, float] = field(default_factory=dict)
     reference: int = 0
     _columns: list[tuple[str, object]] = field(default_factory=list)
     _beta: NDArray[np.float64] = field(default_factory=lambda: np.zeros(0))
@@ -164,9 +163,8 @@
                 x[i, column_index[name]] = value
         y = np.array([c.y for c in found])
         groups = {g: [i for i, n in enumerate(self._columns) if n[0] == g] for g in MIN_STD if g != "noise"}
-        median_variance = np.array(
-            [1.57 * 0.15 / c.n for c in found]
-        )  # variance of a median of n samples with a standard deviation of about 0.4
+        # variance of a median of n samples with a standard deviation of about 0.4
+        median_variance = np.array([1.57 * 0.15 / c.n for c in found])
         for _ in range(FIT_ROUNDS):
             weight = 1.0 / (self.stds["noise"] ** 2 + median_variance)
             prior = np.array([1.0 / self._prior_std(n[0]) ** 2 for n in self._columns])
@@ -178,9 +176,8 @@
                     sum_of_squares = float(
                         np.sum(self._beta[members] ** 2) + np.trace(self._cov[np.ix_(members, members)])
                     )
-                    prior_weight = (
-                        2.0 if group in ("family", "kind") else 1.0
-                    )  # pseudo-observations near the minimum
+                    # pseudo-observations near the minimum
+                    prior_weight = 2.0 if group in ("family", "kind") else 1.0
                     variance = (sum_of_squares + prior_weight * (2 * MIN_STD[group]) ** 2) / (
                         len(members) + prior_weight
                     )
--- a/otterquay/sites/site.py
+++ b/otterquay/sites/site.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """In seconds. `lost` without the group allows an election, `back` with it ends the coordinator's term."""
+    """In seconds: `lost` without the group allows an election, `back` with it ends the coordinator's term."""
 
     word: float = 0.25
     lost: float = 4.0
@@ -51,7 +51,7 @@
 
 
 class StoredState(msgspec.Struct, array_like=True):
-    """State on disk: the newest known token `newest`, and the agent `voted` that alone has the vote under it."""
+    """State on disk: the newest known token, and the agent voted for under it, if any; there is no other vote."""
 
     newest: Token = NONE
     voted: int | None = None
@@ -60,9 +60,8 @@
     spent: int = 0
     caps: dict[int, float] = {}
     lives: dict[int, int] = {}  # newest incarnation heard of each other agent
-    barred_until: int = (
-        -1
-    )  # votes on an earlier disk are unknown: no vote until a later grant is settled; -1: may vote
+    # votes on an earlier disk are unknown: no vote until a later grant is settled; -1: may vote
+    barred_until: int = -1
 
 
 @dataclass(slots=True)
@@ -97,15 +96,14 @@
     next_lead_at: float = 0.0
     votes: dict[int, ms.Answer] = field(default_factory=dict)
     acked: dict[int, tuple[int, float]] = field(default_factory=dict)  # by agent: newest acknowledged Lead and when
-    others: dict[int, float] = field(
-        default_factory=dict
-    )  # by agent: when it last heard the group, on the local clock
+    # by agent: when it last heard the group, on the local clock
+    others: dict[int, float] = field(default_factory=dict)
     number: int = 0
     reserves: list[ReservedOrder] = field(default_factory=list)
     ready: list[tuple[Token, int, Act]] = field(default_factory=list)  # reserved orders, to be sent to the yard
     ballots: dict[int, set[int]] = field(default_factory=dict)
     elections: int = 0
-    next_word_index: int = 0  # index of the last receiver of a Word message
+    last_word_index: int = 0  # index of the last receiver of a Word message
 
     @classmethod
     def load(
@@ -221,12 +219,11 @@
         if now >= self.next_word_at:
             self.next_word_at = now + self.times.word
             others = [a for a in self.agents if a != self.me]
-            for _ in range(
-                min(WORD_FANOUT, len(others))
-            ):  # round robin: the load per agent does not grow with the site
-                self.next_word_index = (self.next_word_index + 1) % len(others)
+            # round robin: the load per agent does not grow with the site
+            for _ in range(min(WORD_FANOUT, len(others))):
+                self.last_word_index = (self.last_word_index + 1) % len(others)
                 out.send(
-                    others[self.next_word_index], ms.Word(min(max(now - self.group_heard_at, 0.0), 1e9), self.life)
+                    others[self.last_word_index], ms.Word(min(max(now - self.group_heard_at, 0.0), 1e9), self.life)
                 )
         if self.group_lost(now):
             self.back_since = None
--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -52,10 +52,10 @@
     """Guards against ordering twice: on slow links, books without an order arrived after the order was done."""
     ordered: list[cm.Command] = []
 
-    def propose(now: float, command: cm.Command, example_reads: object, out: Out) -> bool:
+    def propose(now: float, command: cm.Command, on_result: object, out: Out) -> bool:
         ordered.append(command)
-        assert callable(example_reads)
-        example_reads(now, cm.Result(True), out)
+        assert callable(on_result)
+        on_result(now, cm.Result(True), out)
         return True
 
     reconciler = SiteReconciler(
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -197,7 +197,8 @@
 
     record_demand()
     sim.run(60.0)
-    # 60 requests per second of 0.2 s need 17 cores with three tenths free by the median; more by the upper bound
+    # 60 requests per second of 0.2 s need 17 cores, in servers of 4, with three tenths free at the median time;
+    # at its upper bound they need more
     assert 5 <= sim.yard.site("north").alive["b"] <= 9 - 2, sim.yard.site("north")
     ordered = [o for o in sim.yard.site("north").orders.values()]
     assert sum(o.count for o in ordered) == sim.yard.site("north").alive["b"]
--- a/tests/fleet/test_sites.py
+++ b/tests/fleet/test_sites.py
@@ -38,15 +38,11 @@
             )
 
     def deliver(self, sender: int, out: Out) -> None:
-        for coordinator in out.sends:
-            if (
-                (sender, coordinator.to) not in self.partitions
-                and coordinator.to not in self.down
-                and sender not in self.down
-            ):
+        for send in out.sends:
+            if (sender, send.to) not in self.partitions and send.to not in self.down and sender not in self.down:
                 back = Out()
-                self.sites[coordinator.to].receive(self.now, sender, coordinator.message, back)
-                self.deliver(coordinator.to, back)
+                self.sites[send.to].receive(self.now, sender, send.message, back)
+                self.deliver(send.to, back)
 
     def run(self, seconds: float, heard: tuple[int, ...] = (), group: int = 4) -> None:
         until = self.now + seconds
@@ -74,12 +70,10 @@
     alone = Cluster()
     alone.run(12.0, heard=(0, 1))
     assert alone.coordinators() == []
-    partitions = Cluster(5)
-    partitions.partitions = {(a, b) for a in (0, 1) for b in (2, 3, 4)} | {
-        (b, a) for a in (0, 1) for b in (2, 3, 4)
-    }
-    partitions.run(15.0)
-    assert len(partitions.coordinators()) == 1 and partitions.coordinators()[0] in (2, 3, 4)
+    divided = Cluster(5)
+    divided.partitions = {(a, b) for a in (0, 1) for b in (2, 3, 4)} | {(b, a) for a in (0, 1) for b in (2, 3, 4)}
+    divided.run(15.0)
+    assert len(divided.coordinators()) == 1 and divided.coordinators()[0] in (2, 3, 4)
 
 
 def test_an_order_waits_until_a_majority_has_written_down_that_it_is_spent() -> None:
