--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -235,7 +235,7 @@
             owner, duty = owners[site][0], duty_of(site)
             if self.relieved_until.get((duty, owner), -1e9) <= now:
                 relief_ends = sorted((until, a) for (d, a), until in self.relieved_until.items() if d == duty)
-                max_relieved = len(self.plan.agents_of(site)) // 2  # a majority of the site must stay able to claim
+                max_relieved = len(self.plan.agents_of(site)) // 2  # other agents must be able to claim it
                 for _, agent_to_free in relief_ends[: max(len(relief_ends) + 1 - max_relieved, 0)]:
                     del self.relieved_until[duty, agent_to_free]
                 if max_relieved:
--- a/otterquay/fleet/site_reconciler.py
+++ b/otterquay/fleet/site_reconciler.py
@@ -49,28 +49,32 @@
     # by kind: since when, and the minimum since then
     surplus: dict[str, tuple[float, int]] = field(default_factory=dict)
 
-    def step(self, now: float, beat: dm.SiteBeat | None, out: Out) -> bool:
+    def step(self, now: float, site_beat: dm.SiteBeat | None, out: Out) -> bool:
         """Run what is due. Returns True if the group's books should be requested."""
         for errand in self.errands.values():
             errand.overdue(now)
             if request := errand.step(now):
-                self.call_yard(request, lambda at, answer, o, e=errand: self._order_answered(at, e, answer, o), out)  # type: ignore[misc]
+                self.call_yard(
+                    request,
+                    lambda at, answer, o, e=errand: self._order_answered(at, e, answer, o),  # type: ignore[misc]
+                    out,
+                )
         if now < self.next_step_at or self.asking:
             return False
         self.next_step_at = now + self.yard_interval
         match self.phase:
             case "fence":
-                self._list(now, "PUT", f"/sites/{self.site}/fence", beat, out)
+                self._list(now, "PUT", f"/sites/{self.site}/fence", site_beat, out)
             case "found":
-                self._found(now, beat, out)
+                self._found(now, site_beat, out)
             case "run":
                 if self.books is not None:
                     self._order_missing(now, out)
-                self._list(now, "GET", f"/sites/{self.site}", beat, out)
+                self._list(now, "GET", f"/sites/{self.site}", site_beat, out)
                 return True
         return False
 
-    def _list(self, now: float, method: str, path: str, beat: dm.SiteBeat | None, out: Out) -> None:
+    def _list(self, now: float, method: str, path: str, site_beat: dm.SiteBeat | None, out: Out) -> None:
         def on_listed(at: float, answer: Answer, o: Out) -> None:
             self.asking = False
             self.next_step_at = at + self.yard_interval  # answered: replaces the timeout set below
@@ -84,16 +88,16 @@
                 return  # malformed answer: listed again
             if self.phase == "fence":
                 self.phase = "found"
-                self._found(at, beat, o)
+                self._found(at, site_beat, o)
             self._report_ended(at, o)
 
         self.asking = True
         self.next_step_at = now + WAIT_S
         self.call_yard(Request(method, path, self.token), on_listed, out)  # type: ignore[arg-type]
 
-    def _found(self, now: float, beat: dm.SiteBeat | None, out: Out) -> None:
+    def _found(self, now: float, site_beat: dm.SiteBeat | None, out: Out) -> None:
         """Report the acts in the yard's list to the group; it is complete, as older tokens are refused by now."""
-        if self.listing is None or beat is None:
+        if self.listing is None or site_beat is None:
             return
         acts = [
             cm.Act(o.id, "order", o.kind, o.count, o.started)
@@ -114,7 +118,7 @@
         def send_next_piece(at: float, o: Out) -> None:
             piece = pieces.pop(0)
             last = not pieces
-            command = cm.Found(duty_of(self.site), self.token, piece, beat.spent if last else 0, last)
+            command = cm.Found(duty_of(self.site), self.token, piece, site_beat.spent if last else 0, last)
             self.asking = self.propose(at, command, on_found_answered, o)
 
         send_next_piece(now, out)
--- a/tests/fleet/test_retiring.py
+++ b/tests/fleet/test_retiring.py
@@ -48,7 +48,7 @@
     return sim.yard.site("north").alive["x"]
 
 
-def test_what_was_too_many_for_long_goes_once_and_the_bound_has_room_again() -> None:
+def test_lasting_surplus_is_retired_once_and_frees_room_under_the_bound() -> None:
     sim = sim_with_low_demand()
     sim.run(sim.now + 9.0)
     assert alive(sim) == 6, "the surplus is shorter than `retire`"
@@ -64,7 +64,7 @@
     assert duties.alive("north", "x") == 2 and not duties.whole.orders
 
 
-def test_no_more_goes_than_was_too_many_all_the_while() -> None:
+def test_only_the_minimum_surplus_of_the_whole_period_is_retired() -> None:
     sim = sim_with_low_demand(wanted_count=2)
     sim.run(sim.now + 7.0)
     for host in sim.hosts.values():
@@ -73,7 +73,7 @@
     assert alive(sim) == 5
 
 
-def test_it_is_off_unless_asked_for() -> None:
+def test_retiring_is_off_by_default() -> None:
     sim = sim_with_low_demand(replace(PLAN, intervals=Intervals()))
     sim.run(sim.now + 60.0)
     assert alive(sim) == 6
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -17,7 +17,7 @@
 MACHINES = {"a": Machine("old", (2.0, 2.0, 8.0)), "b": Machine("old", (4.0, 3.0, 8.0)), "c": Machine("new")}
 
 
-def test_kinds_nobody_has_seen_are_told_better_than_by_any_baseline_and_the_interval_holds() -> None:
+def test_unseen_kinds_are_estimated_better_than_by_any_baseline_and_the_interval_holds() -> None:
     found = score(range(30))
     best = min(error for name, error in found.errors.items() if name not in ("model",))
     assert found.errors["model"] < best and found.answers > 100
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("how", [{"liars": 1}, {"cut_at": 1.5}, {"trial": 3.0}], ids=str)
-def test_one_liar_cut_off_times_and_a_build_on_trial_do_little_harm(how: dict[str, float]) -> None:
+def test_wrong_data_timeouts_and_trial_builds_have_little_influence(how: dict[str, float]) -> None:
     plain, other = score(range(8)), score(range(8), **how)
     assert other.errors["model"] - plain.errors["model"] < (0.02 if "trial" not in how else 0.04)
     moved = [
@@ -87,7 +87,7 @@
     assert sum(sum(r.exact.values()) for r in merged.rows.values()) == 30
 
 
-def test_nobody_speaks_for_another_and_words_that_cannot_be_are_passed_over_whole() -> None:
+def test_rows_of_other_agents_and_malformed_messages_are_ignored_as_a_whole() -> None:
     run_times = SharedEvidence(0, 1, MACHINES)
     assert (
         run_times.merge(rw.encode(recorded_rows(2).rows_of(2)), 3) == 0
@@ -150,7 +150,7 @@
     assert servers_needed({}, times, 2.0, 0, Sizing(min_servers=2)).count == 2
 
 
-def test_a_table_goes_round_and_an_older_one_changes_nothing() -> None:
+def test_a_newer_table_is_adopted_and_an_older_or_malformed_one_is_ignored() -> None:
     owner, other = SharedEvidence(0, 1, MACHINES), SharedEvidence(1, 1, MACHINES)
     for _ in range(9):
         owner.record(0.0, "read", "a", 7, 1, 40.0, alone=True, timed_out=False)
--- a/tests/fleet/test_sites.py
+++ b/tests/fleet/test_sites.py
@@ -112,7 +112,7 @@
     assert not after.lower_cap(site.now, 7, 0.5, Out()), "a site never raises a cap"
 
 
-def test_one_that_wakes_late_is_refused_by_the_agents() -> None:
+def test_a_coordinator_that_wakes_late_is_refused_by_the_agents() -> None:
     site = Cluster()
     site.run(12.0)
     (coordinator,) = site.coordinators()
