--- a/tests/fleet/test_posts.py
+++ b/tests/fleet/test_posts.py
@@ -18,7 +18,7 @@
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
 from otterquay.duties.yard_orders import Answer, SiteListing, YardOrder
-from otterquay.fleet import words
+from otterquay.fleet import codec
 
 TERMS = LeaseTerms(4.0, 0.02)
 A, B = "look/north/a", "look/north/b"
@@ -305,10 +305,10 @@
     """With a limit of 512 the leader rejected the statuses of the only agent left, which then held no posts."""
     many = list(range(1, MAX_POSTS + 1))
     status = dm.Status(1, "north", [], 0, False, 1, 0, many)
-    assert words.decode(words.encode(status)) == status
+    assert codec.decode(codec.encode(status)) == status
     site = dm.SiteBeat(NONE, 0, NONE, [], [], 0, 0)
     beat = dm.Beat(1, {}, site, {}, 0, 0, 1, [(f"look/north/{n}", Token(n)) for n in many])
-    assert words.decode(words.encode(beat)) == beat
+    assert codec.decode(codec.encode(beat)) == beat
 
 
 class Bench:
