--- a/otterquay/cli/lab.py
+++ b/otterquay/cli/lab.py
@@ -25,11 +25,11 @@
 from otterquay.lab import search, torture
 from otterquay.lab.chat import ChatWorld, judge, unsafe_commands
 from otterquay.lab.day import load_day
-from otterquay.lab.mass.plan import Fault, Mass, Release
-from otterquay.lab.mass.play import play as play_mass
-from otterquay.lab.play import Result, inside, play, play_with_processes, processes
+from otterquay.lab.mass.scenario import Fault, FleetScenario, Release
+from otterquay.lab.mass.simulation import simulate_fleet as play_mass
+from otterquay.lab.play import Result, in_process_agents, play, play_with_processes, process_agents
 from otterquay.lab.sim import play_simulated
-from otterquay.lab.simloop import Stuck
+from otterquay.lab.simloop import NoProgressError
 
 EXAMPLES = Path(__file__).parents[2] / "examples"
 EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
@@ -50,7 +50,7 @@
             ticker = asyncio.create_task(_advance_progress(progress, task))
             try:
                 if one_process:
-                    return await play(day, service, seed, inside(service), log)
+                    return await play(day, service, seed, in_process_agents(service), log)
                 return await play_with_processes(day, service, file.parent / day.service, seed, report, log)
             finally:
                 ticker.cancel()
@@ -164,7 +164,9 @@
     if seconds:
         day = day.model_copy(update={"duration": seconds * 1e3})
     with tempfile.TemporaryDirectory(prefix="otterquay-chat-") as folder:
-        hosts = inside(service) if one_process else processes(file.parent / day.service, Path(folder))
+        hosts = (
+            in_process_agents(service) if one_process else process_agents(file.parent / day.service, Path(folder))
+        )
         world = ChatWorld(day, service, seed, hosts, people=people, pause_s=pause, fault_share=faults)
         asyncio.run(world.run())
     findings = judge(world.tape, unsafe_commands(service))
@@ -208,7 +210,7 @@
         click.echo(str(error), err=True)
         sys.exit(2)
     if agents:
-        day = search.grown(day, service, agents, random.Random(seed))
+        day = search.with_agents(day, service, agents, random.Random(seed))
     if machines:
         day = day.model_copy(update={"fleet": day.fleet.model_copy(update={"machines": machines})})
     if rate:
@@ -230,7 +232,7 @@
     started = perf_counter()
     try:
         played = play_simulated(day, service, seed)
-    except Stuck as stuck:
+    except NoProgressError as stuck:
         raise click.ClickException(f"the simulation cannot make progress: {stuck}") from None
     summary = {**played.summary(), "wall_s": round(perf_counter() - started, 3)}
     if as_json:
@@ -240,7 +242,7 @@
         click.echo(f"digest {summary['digest']}; {summary['sim_s']} s simulated in {summary['wall_s']} s")
         for text in summary["errors"]:
             click.echo(f"program error: {text}")
-    sys.exit(1 if played.result.report.broken or played.faults else 0)
+    sys.exit(1 if played.result.report.broken or played.program_errors else 0)
 
 
 @lab.command("mass")
@@ -321,18 +323,18 @@
         click.echo(str(error), err=True)
         sys.exit(2)
     started = perf_counter()
-    plan = Release(back=None if back is None else back * 1e3, bad=bad) if release else None
+    plan = Release(rollback_at=None if back is None else back * 1e3, error_share=bad) if release else None
     fleet_result = play_mass(
-        Mass(
+        FleetScenario(
             service,
             agents,
             servers,
-            Fault(told_ms=told * 1e3, killed=killed),
+            Fault(list_delay_ms=told * 1e3, killed_share=killed),
             plan,
             use,
             few,
-            late_ms=late * 1e3,
-            leave=leave,
+            max_news_delay_ms=late * 1e3,
+            leave_share=leave,
         ),
         seed,
     )
@@ -344,8 +346,8 @@
                 "refused": fleet_result.refused,
                 "failed": fleet_result.failed,
                 "to_cold": fleet_result.to_cold,
-                "worst_of_limit": round(fleet_result.worst, 3),
-                "by_told": round(fleet_result.by_told, 3),
+                "worst_of_limit": round(fleet_result.peak_cold_load, 3),
+                "by_told": round(fleet_result.informed_share, 3),
                 "violations": {rule: len(texts) for rule, texts in fleet_result.violations.items()},
                 "checked": fleet_result.checked,
                 "broken": fleet_result.broken,
@@ -359,9 +361,9 @@
     sys.exit(1 if fleet_result.broken else 0)
 
 
-def _search_trial(file: Path, seed: int) -> search.Found:
+def _search_trial(file: Path, seed: int) -> search.SearchResult:
     day, service = load_day(file)
-    return search.trial(search.draw(day, service, seed), service, seed)
+    return search.play_day(search.draw_faults(day, service, seed), service, seed)
 
 
 @lab.command("search")
@@ -380,19 +382,19 @@
     except ConfigError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
-    findings: list[search.Found] = []
+    findings: list[search.SearchResult] = []
     progress = Progress(console=Console(stderr=True, quiet=as_json), transient=True)
     with progress, ProcessPoolExecutor(jobs) as pool:
         task = progress.add_task("days", total=seeds)
         for outcome in pool.map(partial(_search_trial, file), range(first, first + seeds)):
             findings.append(outcome)
             progress.advance(task)
-    failing = [outcome for outcome in findings if outcome.bad]
+    failing = [outcome for outcome in findings if outcome.is_failure]
     for outcome in failing[:10] if out else ():
         assert out is not None
         out.mkdir(parents=True, exist_ok=True)
-        smaller = search.shrink(search.draw(day, service, outcome.seed), service, outcome.seed)
-        rerun = search.trial(smaller, service, outcome.seed)
+        smaller = search.shrink(search.draw_faults(day, service, outcome.seed), service, outcome.seed)
+        rerun = search.play_day(smaller, service, outcome.seed)
         note = "\n".join(
             [f"Found by search, seed {outcome.seed}."]
             + [f"{rule}: {text}" for rule, texts in rerun.broken.items() for text in texts[:2]]
--- a/otterquay/cli/standin.py
+++ b/otterquay/cli/standin.py
@@ -131,7 +131,7 @@
             raise RuntimeError("this world runs no agents")
 
         lab_world = World(day, service, seed, no_host, click.echo)
-        fleet, desk = await lab_world.open()
+        fleet, desk = await lab_world.start_standins()
         click.echo(f"fleet http://{fleet}\ndesk http://{desk}")
         await lab_world.play()
         await asyncio.Event().wait()
@@ -152,7 +152,7 @@
 
     async def run() -> None:
         traffic_world = World(day, service, seed, lambda _: (_ for _ in ()).throw(RuntimeError()), click.echo)
-        load_generator = traffic_world.crowd(dict(enumerate(agents)))
+        load_generator = traffic_world.create_clients(dict(enumerate(agents)))
         await load_generator.offer(lambda _: day.traffic.rate, day.duration / 1e3)
         sys.stdout.buffer.write(traffic_world.tape.dump())
 
--- a/otterquay/lab/cluster/host.py
+++ b/otterquay/lab/cluster/host.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from otterquay.lab.hosts import Process
+from otterquay.lab.hosts import AgentProcess
 
 
 @dataclass(eq=False)
-class Clustered(Process):
+class Clustered(AgentProcess):
     """An agent of the cluster; its disk may be taken away, copied and put back while it is down."""
 
     @property
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -21,7 +21,7 @@
 from otterquay.lab.cluster.wires import Wires
 from otterquay.lab.day import AgentsPlan, ClassPlan, Day, FleetPlan, TrafficPlan
 from otterquay.lab.fleetsim.judge import Judge
-from otterquay.lab.hosts import Host, Place
+from otterquay.lab.hosts import AgentHost, AgentPlacement
 from otterquay.lab.ports import TCP
 from otterquay.lab.world import World
 from otterquay.standins.links import Link, LinkState
@@ -70,7 +70,7 @@
         book.watch = self._effect
         self.yard = Yard(book, random.Random(self.seed + 1))
         at_yard = await self.yard.start()
-        ports = self.claim(len(self.sites), TCP)
+        ports = self.reserve_ports(len(self.sites), TCP)
         self.numbers = {n: f"127.0.0.1:{port}" for n, port in enumerate(ports)}
         told: dict[tuple[int, int], str] = {}
         for a in self.sites:
@@ -101,7 +101,7 @@
         await super()._start()
         self._tasks.add(asyncio.get_running_loop().create_task(self._ends(rng)))
 
-    def place(self, place: Place) -> Host:
+    def place(self, place: AgentPlacement) -> AgentHost:
         """The process for a place."""
         return Clustered(self.folder / f"agent-{place.number}.hcl", place, self.folder / "group.key", self.folder)
 
@@ -220,7 +220,7 @@
             await asyncio.sleep(one.after / 1e3)
         if self.healing:
             return
-        self.say(f"trouble: {one.kind} {one.who or one.site}".rstrip())
+        self.log(f"trouble: {one.kind} {one.who or one.site}".rstrip())
         done = KINDS[one.kind](self, one, self._who(one, agent))
         if asyncio.iscoroutine(done):
             await done
--- a/otterquay/lab/hosts.py
+++ b/otterquay/lab/hosts.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class AgentPlacement:
     """Where one agent stands in a run."""
 
     number: int
@@ -36,7 +36,7 @@
     chat: dict[str, str] = field(default_factory=dict)
 
 
-def placed(service: Service, place: Place) -> Service:
+def placed(service: Service, place: AgentPlacement) -> Service:
     """The settings as this agent gets them."""
     agent = service.agent.model_copy(
         update={"number": place.number, "count": place.count, "zone": place.zone, "listen": "127.0.0.1:0"}
@@ -49,7 +49,7 @@
     return service.model_copy(update={"agent": agent, "feeds": feeds, "peers": peers, "chat": chat})
 
 
-class Host(Protocol):
+class AgentHost(Protocol):
     """One agent that can be started, killed and stopped again and again."""
 
     async def start(self) -> str: ...
@@ -66,7 +66,7 @@
     """An agent in this process; `decider` may be a module with a guard taken out."""
 
     service: Service
-    place: Place
+    place: AgentPlacement
     key: bytes
     decider: Callable[[it.Settings, int], Decider] = Agent
     disk: FaultDisk = field(default_factory=lambda: FaultDisk(sector=4096))
@@ -114,11 +114,11 @@
 
 
 @dataclass(slots=True)
-class Process:
+class AgentProcess:
     """An agent as users run it: `otterquay agent FILE`, on its own."""
 
     settings: Path
-    place: Place
+    place: AgentPlacement
     key_file: Path
     logs: Path
     process: asyncio.subprocess.Process | None = None
--- a/otterquay/lab/mass/play.py
+++ b/otterquay/lab/mass/simulation.py
@@ -12,9 +12,9 @@
 
 from otterquay import interface as it
 from otterquay.config.translate import decision_settings
-from otterquay.lab.mass.books import Books
-from otterquay.lab.mass.plan import Mass, Release, Result
+from otterquay.lab.mass.scenario import FleetScenario, Release, Result
 from otterquay.lab.mass.servers import CORES, Server
+from otterquay.lab.mass.tape_recorder import Books
 from otterquay.policy.agent import Agent
 
 CONNECT_MS = 250.0
@@ -33,10 +33,10 @@
     client: bool = True
 
 
-class Play:
+class FleetSimulation:
     """One run of a fleet."""
 
-    def __init__(self, mass: Mass, seed: int) -> None:
+    def __init__(self, mass: FleetScenario, seed: int) -> None:
         self.mass, self.rng, self.result = mass, random.Random(seed), Result()
         self.settings = replace(decision_settings(mass.service), agents=mass.agents, me=0)
         self.now, self._heap, self._order = 0.0, list[tuple[float, int, Callable[[], object]]](), itertools.count()
@@ -68,8 +68,8 @@
             for server in lost:
                 self.at(fault.lost, server.fall)  # without a word: what was out there runs into its time
                 self.at(fault.back, partial(self.rise, server))
-            if fault.told_ms is not None:
-                self.at(fault.back + fault.told_ms, partial(self.tell, lost))
+            if fault.list_delay_ms is not None:
+                self.at(fault.back + fault.list_delay_ms, partial(self.tell, lost))
         self.at(fault.back, self._kill)
         if self.mass.release:
             self.at(self.mass.release.offered, partial(self._stage, self.mass.release, 0))
@@ -105,7 +105,7 @@
         self._hear_list(i, it.ListKind.FULL, self.servers)
 
     def _kill(self) -> None:
-        part = int(self.mass.fault.killed * len(self.agents))
+        part = int(self.mass.fault.killed_share * len(self.agents))
         for i in self.rng.sample(range(len(self.agents)), part):
             self.books.killed(i, [request for request, one in self.held[i].items() if one.client])
             self.lives[i] += 1
@@ -152,10 +152,10 @@
 
     def _all(self, hear: Callable[[int], None]) -> None:
         for i in range(len(self.agents)):
-            if self.mass.late_ms <= 0:
+            if self.mass.max_news_delay_ms <= 0:
                 hear(i)
                 continue
-            self._heard[i] = max(self._heard[i], self.now + self.rng.uniform(0.0, self.mass.late_ms))
+            self._heard[i] = max(self._heard[i], self.now + self.rng.uniform(0.0, self.mass.max_news_delay_ms))
             self.at(self._heard[i], partial(self._late, i, self.lives[i], hear))
 
     def _late(self, i: int, life: int, hear: Callable[[int], None]) -> None:
@@ -191,7 +191,7 @@
         effect = s.classes[cls].effect is not it.Effect.SAFE
         asked = it.Request(request, cls, tenant, request, deadline, 0.0, False, False, effect)
         self.books.asked(i, asked)
-        if self.mass.leave and self.rng.random() < self.mass.leave:
+        if self.mass.leave_share and self.rng.random() < self.mass.leave_share:
             self.later(self.rng.uniform(0.0, deadline / 2), partial(self._leave, i, request))
         self.give(i, asked)
 
@@ -249,7 +249,7 @@
     def _stage(self, plan: Release, stage: int) -> None:
         """A stage of the release begins: its cap is told and its servers are replaced."""
         roll = self.settings.rollout
-        if plan.back is not None and self.now >= plan.back:
+        if plan.rollback_at is not None and self.now >= plan.rollback_at:
             return self._back(plan)
         if stage == len(roll.stage_cap):
             return self.tell_stage(it.StageNews(2, stage - 1, it.Phase.RELEASED, False, it.Status.OK, 1.0, 0.0))
@@ -257,8 +257,8 @@
         places = [s for s in self.servers if s.entry.zone != self.mass.fault.zone]
         self._replace(plan, places[: math.ceil(roll.stage_share[stage] * len(places))], 2)
         begins = self.now + plan.step_ms
-        if plan.back is not None:
-            begins = min(begins, plan.back)
+        if plan.rollback_at is not None:
+            begins = min(begins, plan.rollback_at)
         self.at(begins, partial(self._stage, plan, stage + 1))
 
     def _back(self, plan: Release) -> None:
@@ -284,7 +284,7 @@
     def _renew(self, plan: Release, servers: list[Server], build: int) -> None:
         for server in servers:
             server.entry = replace(server.entry, state=it.ServerState.READY, build=build)
-            server.bad = plan.bad if build == 2 else 0.0
+            server.bad = plan.error_share if build == 2 else 0.0
             self.rise(server)
         self.tell(servers)
 
@@ -302,8 +302,8 @@
         able = (server.able(since, figures) + server.able(self.now, figures)) / 2
         bears = figures.fall_multiple * able * figures.fall_ms * CORES / self.mass.work_ms
         came, by_told = len(server.came), sum(t for _, t in server.came) / len(server.came)
-        if came / bears > self.result.worst:
-            self.result.worst, self.result.by_told = came / bears, by_told
+        if came / bears > self.result.peak_cold_load:
+            self.result.peak_cold_load, self.result.informed_share = came / bears, by_told
         if came > bears + 2 * math.sqrt(bears) + 2 and 3 * by_told >= 2:
             self._fallen.append(
                 f"server {server.entry.server}: {came} attempts where it bears {bears:.1f}, "
@@ -311,6 +311,6 @@
             )
 
 
-def play(mass: Mass, seed: int) -> Result:
+def simulate_fleet(mass: FleetScenario, seed: int) -> Result:
     """The result of one run."""
-    return Play(mass, seed).run()
+    return FleetSimulation(mass, seed).run()
--- a/otterquay/lab/play.py
+++ b/otterquay/lab/play.py
@@ -15,7 +15,7 @@
 from otterquay.config.schema import Service
 from otterquay.lab.auditor import Auditor, Report
 from otterquay.lab.day import Day
-from otterquay.lab.hosts import Host, Inside, Place, Process
+from otterquay.lab.hosts import AgentHost, AgentPlacement, AgentProcess, Inside
 from otterquay.lab.world import World
 from otterquay.standins import tape as tp
 
@@ -80,7 +80,7 @@
     day: Day,
     service: Service,
     seed: int,
-    hosts: Callable[[Place], Host],
+    hosts: Callable[[AgentPlacement], AgentHost],
     say: Callable[[str], None] = lambda text: None,
     tolerance_s: float = 0.25,
 ) -> Result:
@@ -100,18 +100,18 @@
     return Result(world.tape, Auditor(world.tape, service, tolerance_s).judge(), latency)
 
 
-def inside(service: Service, **changes: Any) -> Callable[[Place], Host]:
+def in_process_agents(service: Service, **changes: Any) -> Callable[[AgentPlacement], AgentHost]:
     """Agents in this process."""
     key = secrets.token_bytes(32)
     return lambda place: Inside(service, place, key, **changes)
 
 
-def processes(settings: Path, folder: Path) -> Callable[[Place], Host]:
+def process_agents(settings: Path, folder: Path) -> Callable[[AgentPlacement], AgentHost]:
     """Agents in processes of their own; logs, caches and the peer key go to `folder`."""
     key_file = folder / "peer.key"
     key_file.write_text(secrets.token_hex(32))
     key_file.chmod(0o600)
-    return lambda place: Process(settings, place, key_file, folder)
+    return lambda place: AgentProcess(settings, place, key_file, folder)
 
 
 async def play_with_processes(
@@ -126,7 +126,7 @@
     with tempfile.TemporaryDirectory(prefix="otterquay-") as scratch:
         where = folder or Path(scratch)
         where.mkdir(parents=True, exist_ok=True)
-        result = await play(day, service, seed, processes(settings, where), say)
+        result = await play(day, service, seed, process_agents(settings, where), say)
         if folder:
             (folder / "tape.jsonl").write_bytes(result.tape.dump())
             lines = [f"{rule}: {text}" for rule, texts in result.report.violations.items() for text in texts]
--- a/otterquay/lab/runtimes.py
+++ b/otterquay/lab/runtimes.py
@@ -32,7 +32,7 @@
     order: list[str] = field(default_factory=list)  # kinds as they were first seen
 
 
-def draw(
+def draw_fleet(
     seed: int,
     agents: int = 10,
     liars: int = 0,
@@ -127,7 +127,7 @@
     """Mean error of the log median on held-out kinds by method, and how often the 90% interval holds."""
 
     errors: dict[str, float]
-    inside: float
+    interval_coverage: float
     inside_seen: float
     answers: int
     unknown: int
@@ -138,7 +138,7 @@
     errors: dict[str, list[float]] = defaultdict(list)
     inside, inside_seen, unknown = [], [], 0
     for seed in seeds:
-        fleet = draw(seed, **how)  # type: ignore[arg-type]
+        fleet = draw_fleet(seed, **how)  # type: ignore[arg-type]
         told = estimates(fleet)
         methods = baselines(fleet)
         for (cls, kind), truth in fleet.truth.items():
--- a/otterquay/lab/search.py
+++ b/otterquay/lab/search.py
@@ -14,7 +14,7 @@
 from otterquay.config.schema import Service
 from otterquay.lab.day import Day, FaultKind, FaultPlan
 from otterquay.lab.sim import play_simulated
-from otterquay.lab.simloop import Stuck
+from otterquay.lab.simloop import NoProgressError
 
 KINDS: tuple[str, ...] = get_args(FaultKind)
 ZONES = {"zone_cut": 2, "one_way": 2, "link_reset": 2, "link_slow": 2, "zone_loss": 1}
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class SearchResult:
     """What became of one seed; `broken` holds violations in words, by rule, and errors of the program."""
 
     seed: int
@@ -39,12 +39,12 @@
     faults: tuple[str, ...]
 
     @property
-    def bad(self) -> bool:
+    def is_failure(self) -> bool:
         """Whether a rule was broken or the program failed."""
         return bool(self.broken)
 
 
-def draw(day: Day, service: Service, seed: int, most: int = 6) -> Day:
+def draw_faults(day: Day, service: Service, seed: int, most: int = 6) -> Day:
     """The day with other faults: up to `most` of a few kinds, at any time, overlapping."""
     rng = random.Random(seed)
     kinds = rng.sample(KINDS, rng.randint(1, 5))
@@ -70,7 +70,7 @@
     return day.model_copy(update={"fault": faults})
 
 
-def grown(day: Day, service: Service, agents: int, rng: random.Random) -> Day:
+def with_agents(day: Day, service: Service, agents: int, rng: random.Random) -> Day:
     """The day with so many agents, over all zones, whose shares of the traffic have a heavy tail."""
     zones = [service.zones[i % len(service.zones)] for i in range(agents)]
     weights = [round(rng.lognormvariate(0, HEAVY), 4) for _ in range(agents)]
@@ -78,32 +78,34 @@
     return day.model_copy(update={"agents": plan})
 
 
-def trial(day: Day, service: Service, seed: int) -> Found:
+def play_day(day: Day, service: Service, seed: int) -> SearchResult:
     """Play a day and tell what broke."""
     faults = tuple(f.kind for f in day.fault)
     try:
         played = play_simulated(day, service, seed)
-    except Stuck as stuck:
-        return Found(seed, {"program": [f"the run does not end: {stuck}"]}, 0.0, "", faults)
+    except NoProgressError as stuck:
+        return SearchResult(seed, {"program": [f"the run does not end: {stuck}"]}, 0.0, "", faults)
     except Exception as error:  # a failing stand-in must not end the hunt
-        return Found(seed, {"program": [f"{type(error).__name__}: {error}"]}, 0.0, "", faults)
+        return SearchResult(seed, {"program": [f"{type(error).__name__}: {error}"]}, 0.0, "", faults)
     summary = played.summary()
     broken = {rule: texts[:5] for rule, texts in played.result.report.violations.items() if texts}
-    if played.faults:
-        broken["program"] = played.faults[:5]
-    return Found(seed, broken, summary["operations_served"] / max(summary["operations"], 1), played.digest, faults)
+    if played.program_errors:
+        broken["program"] = played.program_errors[:5]
+    return SearchResult(
+        seed, broken, summary["operations_served"] / max(summary["operations"], 1), played.digest, faults
+    )
 
 
 def shrink(
     day: Day, service: Service, seed: int, said: Callable[[str], None] = lambda text: None, tries: int = 60
 ) -> Day:
     """A smaller day that breaks one of the same rules with the same seed: fewer faults and builds, shorter."""
-    wanted = set(trial(day, service, seed).broken)
+    wanted = set(play_day(day, service, seed).broken)
 
     def still(smaller: Day) -> bool:
         nonlocal tries
         tries -= 1
-        return tries >= 0 and bool(wanted & set(trial(smaller, service, seed).broken))
+        return tries >= 0 and bool(wanted & set(play_day(smaller, service, seed).broken))
 
     changed = True
     while changed and tries > 0:
--- a/otterquay/lab/sim.py
+++ b/otterquay/lab/sim.py
@@ -12,7 +12,7 @@
 
 from otterquay.config.schema import Service
 from otterquay.lab.day import Day
-from otterquay.lab.hosts import Host, Inside, Place
+from otterquay.lab.hosts import AgentHost, AgentPlacement, Inside
 from otterquay.lab.play import Result, play
 from otterquay.lab.simloop import Machine, SimLoop, simulate
 from otterquay.standins.tape import Tape
@@ -33,7 +33,7 @@
     async def start(self) -> str:
         """Start; the machine is a new one, the disk what the last left."""
         self.machine = Machine(f"agent-{self.place.number}", self.place.zone)
-        return await self._loop().on(self.machine, Inside.start(self))
+        return await self._loop().run_on(self.machine, Inside.start(self))
 
     async def kill(self) -> None:
         """The process ends; what it had not synced is lost, as if the power failed."""
@@ -45,7 +45,7 @@
         """End in good order."""
         if self.runtime:
             runtime, self.runtime = self.runtime, None
-            await self._loop().on(self.machine, runtime.stop())
+            await self._loop().run_on(self.machine, runtime.stop())
 
     def pause(self, on: bool) -> None:
         """Stand still, or go on."""
@@ -54,7 +54,7 @@
 
 def simulated(
     service: Service, seed: int, agent: type[SimAgent] = SimAgent, **changes: Any
-) -> Callable[[Place], Host]:
+) -> Callable[[AgentPlacement], AgentHost]:
     """Agents on machines of the simulated loop."""
     key = random.Random(seed).randbytes(32)
     return lambda place: agent(service, place, key, **changes)
@@ -73,7 +73,7 @@
     digest: str
     sim_s: float
     turns: int
-    faults: list[str]
+    program_errors: list[str]
 
     def summary(self) -> dict[str, Any]:
         """The object that `--json` prints."""
@@ -82,7 +82,7 @@
             "digest": self.digest,
             "sim_s": round(self.sim_s, 3),
             "turns": self.turns,
-            "errors": self.faults[:20],
+            "errors": self.program_errors[:20],
         }
 
 
@@ -90,10 +90,10 @@
     day: Day,
     service: Service,
     seed: int,
-    hosts: Callable[[Place], Host] | None = None,
+    hosts: Callable[[AgentPlacement], AgentHost] | None = None,
     say: Callable[[str], None] = lambda text: None,
 ) -> Simulated:
     """Play a day; the same seed gives the same digest. Stuck, Outside: see `simloop.simulate`."""
     work = play(day, service, seed, hosts or simulated(service, seed), say, TOLERANCE_S)
     result, loop = simulate(work, seed)
-    return Simulated(result, digest(result.tape), loop.now - loop.begin, loop.turns, loop.faults)
+    return Simulated(result, digest(result.tape), loop.now - loop.begin, loop.turns, loop.program_errors)
--- a/otterquay/lab/simloop.py
+++ b/otterquay/lab/simloop.py
@@ -25,11 +25,11 @@
 STILL_MOST = 200_000  # turns without time moving after which a run counts as one that does not end
 
 
-class Stuck(RuntimeError):
+class NoProgressError(RuntimeError):
     """Nothing is left that could happen, or time does not move."""
 
 
-class Outside(RuntimeError):
+class RealIOError(RuntimeError):
     """Code under simulation reached for a real socket or file."""
 
 
@@ -110,7 +110,7 @@
         """Move time to the next timer, unless something is ready."""
         loop = self._loop
         if timeout is None:
-            raise Stuck("nothing is left to happen")
+            raise NoProgressError("nothing is left to happen")
         scheduled = loop._scheduled  # type: ignore[attr-defined]
         if timeout > 0 and scheduled:
             loop.now = max(loop.now, scheduled[0]._when)
@@ -122,7 +122,7 @@
                     repr(getattr(handle._callback, "__self__", handle))[:300]
                     for handle in list(loop._ready)[:3]  # type: ignore[attr-defined]
                 ]
-                raise Stuck(f"time does not move beyond {loop.now}: {ready}")
+                raise NoProgressError(f"time does not move beyond {loop.now}: {ready}")
         loop.turns += 1
         return []
 
@@ -395,13 +395,13 @@
         self.listeners: dict[tuple[str, int], SimServer] = {}
         self.datagrams: dict[tuple[str, int], _Datagrams] = {}
         self._port = 20000
-        self.faults: list[str] = []
+        self.program_errors: list[str] = []
         self.set_exception_handler(self._note_fault)
 
     def _note_fault(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if "was destroyed but it is pending" not in context["message"]:  # of machines that were killed
-            self.faults.append(f"{self.now:.3f}: {context['message']}: {error!r}")
+            self.program_errors.append(f"{self.now:.3f}: {context['message']}: {error!r}")
 
     # --- what BaseEventLoop asks of a loop ---
     def time(self) -> float:
@@ -461,7 +461,7 @@
                 transport._end()
             transport.closing = True
 
-    async def on(self, machine: Machine, work: Coroutine[Any, Any, T]) -> T:
+    async def run_on(self, machine: Machine, work: Coroutine[Any, Any, T]) -> T:
         """Run on a machine; what it starts belongs there."""
         context = contextvars.copy_context()
         context.run(MACHINE.set, machine)
@@ -546,11 +546,11 @@
     if not _guarded:
         return
     if event.startswith("socket.") and event not in ("socket.gethostname",):
-        raise Outside(f"{event} under simulation")
+        raise RealIOError(f"{event} under simulation")
     if event == "open" and isinstance(args[1], str) and set(args[1]) & set("wax+"):
-        raise Outside(f"{args[0]!r} opened to write under simulation")
+        raise RealIOError(f"{args[0]!r} opened to write under simulation")
     if event in ("subprocess.Popen", "os.fork", "os.posix_spawn", "_thread.start_new_thread"):
-        raise Outside(f"{event} under simulation")
+        raise RealIOError(f"{event} under simulation")
 
 
 def _sweep(loop: SimLoop) -> None:
--- a/otterquay/lab/world.py
+++ b/otterquay/lab/world.py
@@ -9,7 +9,7 @@
 
 from otterquay.config.schema import Service
 from otterquay.lab.day import Day, FaultPlan
-from otterquay.lab.hosts import Host, Place
+from otterquay.lab.hosts import AgentHost, AgentPlacement
 from otterquay.lab.ports import TCP, UDP, Kind, PortClaim, claim_ports
 from otterquay.standins.appliance import Appliance, Flaw, Shape
 from otterquay.standins.clients import Clients, Habit
@@ -29,14 +29,14 @@
     day: Day
     service: Service
     seed: int
-    hosts: Callable[[Place], Host]
-    say: Callable[[str], None] = lambda text: None
+    hosts: Callable[[AgentPlacement], AgentHost]
+    log: Callable[[str], None] = lambda text: None
     tape: Tape = field(default_factory=Tape)
     latencies: Callable[[str, float], None] = lambda cls, seconds: None
     fleet: Fleet = field(init=False)
     desk: Desk = field(init=False)
     clients: Clients = field(init=False)
-    agents: list[Host] = field(default_factory=list)
+    agents: list[AgentHost] = field(default_factory=list)
     running: dict[int, str] = field(default_factory=dict)
     relays: list[Link] = field(default_factory=list)
     chat: dict[str, str] = field(default_factory=dict)
@@ -77,7 +77,7 @@
     def _rate(self, _: float) -> float:
         return self.day.traffic.rate * self.burst
 
-    async def open(self) -> tuple[str, str]:
+    async def start_standins(self) -> tuple[str, str]:
         """Start appliances, fleet list and desk; returns the addresses of the last two."""
         day, service, rng = self.day, self.service, random.Random(self.seed)
         plan, zones, rules = day.fleet, self.service.zones, self.service.rules
@@ -116,7 +116,7 @@
         await asyncio.sleep(plan.list_lag / 1e3 + 0.05)
         return fleet_at, desk_at
 
-    def crowd(self, agents: dict[int, str]) -> Clients:
+    def create_clients(self, agents: dict[int, str]) -> Clients:
         """The day's clients, against agents at these addresses."""
         day, service = self.day, self.service
         habits = [
@@ -147,15 +147,15 @@
         return clients
 
     async def _start(self) -> None:
-        fleet_at, desk_at = await self.open()
+        fleet_at, desk_at = await self.start_standins()
         count = len(self.day.agents.zones)
-        ports = self.claim(count, UDP) if self.service.limits.peers else []
+        ports = self.reserve_ports(count, UDP) if self.service.limits.peers else []
         peers = {str(i): f"127.0.0.1:{port}" for i, port in enumerate(ports)}
-        ports = self.claim(count, TCP) if self.service.chat else []
+        ports = self.reserve_ports(count, TCP) if self.service.chat else []
         self.chat = {str(i): f"127.0.0.1:{port}" for i, port in enumerate(ports)}
         for number, zone in enumerate(self.day.agents.zones):
             feeds = [await self._reach(zone, at) for at in (fleet_at, desk_at)]
-            place = Place(
+            place = AgentPlacement(
                 number,
                 count,
                 zone,
@@ -167,10 +167,10 @@
             )
             self.agents.append(self.hosts(place))
         await asyncio.gather(*(self._start_agent(n) for n in range(count)))
-        self.clients = self.crowd(self.running)
+        self.clients = self.create_clients(self.running)
         await asyncio.sleep(SETTLE_S)
 
-    def claim(self, count: int, kind: Kind) -> list[int]:
+    def reserve_ports(self, count: int, kind: Kind) -> list[int]:
         """Ports for agents to bind, this day's until its end."""
         claim = claim_ports(count, kind)
         self._claims.append(claim)
@@ -222,14 +222,14 @@
             act()
 
     def _offer(self, build: int, flaw: str) -> None:
-        self.say(f"build {build} is offered" + (f" (it is bad: {flaw})" if flaw != "none" else ""))
+        self.log(f"build {build} is offered" + (f" (it is bad: {flaw})" if flaw != "none" else ""))
         self.desk.offer(build)
 
     def _begin(self, fault: FaultPlan) -> None:
         if fault.kind.endswith("_agent") and not self.agents:
             return  # a world of stand-ins alone
         lasts = f" for {fault.lasts / 1e3:g} s" if fault.lasts else ""
-        self.say(f"trouble: {fault.kind.replace('_', ' ')}{lasts}")
+        self.log(f"trouble: {fault.kind.replace('_', ' ')}{lasts}")
         task = asyncio.get_running_loop().create_task(self._fault(fault))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/tests/fleet/cluster_world.py
+++ b/tests/fleet/cluster_world.py
@@ -8,7 +8,7 @@
 from otterquay.config.load import load_service
 from otterquay.lab.cluster.day import load_cluster_day
 from otterquay.lab.cluster.world import ClusterWorld, day_of
-from otterquay.lab.hosts import Host
+from otterquay.lab.hosts import AgentHost
 
 EXAMPLES = Path(__file__).parents[2] / "examples" / "cluster"
 
@@ -33,7 +33,7 @@
     def pause(self, on: bool) -> None: ...
 
 
-def a_world(hosts: list[Host]) -> ClusterWorld:
+def a_world(hosts: list[AgentHost]) -> ClusterWorld:
     """The first example's day, not begun, with these hosts."""
     cluster = load_cluster_day(min(EXAMPLES.glob("[01]*.hcl")))
     base = EXAMPLES / "agent.hcl"
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -16,7 +16,7 @@
 
 from otterquay.cli import main
 from otterquay.lab.cluster.day import load_cluster_day
-from otterquay.lab.hosts import Place, Process
+from otterquay.lab.hosts import AgentPlacement, AgentProcess
 
 ROOT = Path(__file__).parents[2]
 DAYS = sorted(p for p in (ROOT / "examples" / "cluster").glob("[01]*.hcl"))
@@ -99,8 +99,8 @@
 
 def test_a_place_has_one_process_at_a_time(tmp_path: Path) -> None:
     async def twice() -> tuple[int | None, str]:
-        place = Place(0, 1, "north", "", "", 1, {})
-        host = Process(tmp_path / "no-such.hcl", place, tmp_path / "key", tmp_path)
+        place = AgentPlacement(0, 1, "north", "", "", 1, {})
+        host = AgentProcess(tmp_path / "no-such.hcl", place, tmp_path / "key", tmp_path)
         first = host.process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", "input()", stdin=asyncio.subprocess.PIPE
         )
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from otterquay.lab.runtimes import draw, estimates, score
+from otterquay.lab.runtimes import draw_fleet, estimates, score
 from otterquay.runtimes import rows as rw
 from otterquay.runtimes.machine import Estimate, Machine
 from otterquay.runtimes.model import fit
@@ -21,7 +21,7 @@
     found = score(range(30))
     best = min(error for name, error in found.errors.items() if name not in ("model",))
     assert found.errors["model"] < best and found.answers > 100
-    assert 0.85 <= found.inside <= 0.97
+    assert 0.85 <= found.interval_coverage <= 0.97
 
 
 @pytest.mark.parametrize("how", [{"liars": 1}, {"cut_at": 1.5}, {"trial": 3.0}], ids=str)
@@ -29,8 +29,8 @@
     plain, other = score(range(8)), score(range(8), **how)
     assert other.errors["model"] - plain.errors["model"] < (0.02 if "trial" not in how else 0.04)
     moved = [
-        abs(one[0] - estimates(draw(3, **how))[spot][0])  # type: ignore[arg-type]
-        for spot, one in list(estimates(draw(3)).items())[:6]
+        abs(one[0] - estimates(draw_fleet(3, **how))[spot][0])  # type: ignore[arg-type]
+        for spot, one in list(estimates(draw_fleet(3)).items())[:6]
     ]
     assert max(moved) < (0.15 if "trial" not in how else 0.3), "of 1.1, the log of the slow build's factor"
 
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -10,8 +10,8 @@
 import pytest
 
 from otterquay import interface as it
-from otterquay.lab.mass.plan import Fault, Mass, Release
-from otterquay.lab.mass.play import Play, play
+from otterquay.lab.mass.scenario import Fault, FleetScenario, Release
+from otterquay.lab.mass.simulation import FleetSimulation, simulate_fleet
 from otterquay.policy.agent import Agent
 from tests.helpers import never_drains
 from tests.rig import service
@@ -26,63 +26,67 @@
         "limits": SMALL.limits.model_copy(update={"peers": True}),
     }
 )  # whose messages are all lost
-RELEASE = Mass(
+RELEASE = FleetScenario(
     service(limits={"max_attempts": 4}),
     24,
     16,
-    Fault(lost=3000.0, back=4500.0, told_ms=400.0, killed=0.5),
-    Release(1000.0, 1200.0, bad=0.3, drain_ms=700.0),
+    Fault(lost=3000.0, back=4500.0, list_delay_ms=400.0, killed_share=0.5),
+    Release(1000.0, 1200.0, error_share=0.3, drain_ms=700.0),
     few=3,
     length_ms=8000.0,
-    late_ms=600.0,
-    leave=0.05,
+    max_news_delay_ms=600.0,
+    leave_share=0.05,
     use=0.4,
 )
-BACK = replace(RELEASE, release=Release(1000.0, 1500.0, back=4000.0, bad=0.5, drain_ms=700.0))
+BACK = replace(RELEASE, release=Release(1000.0, 1500.0, rollback_at=4000.0, error_share=0.5, drain_ms=700.0))
 
 
 @pytest.mark.parametrize("killed", [0.0, 0.7])
-@pytest.mark.parametrize("told_ms", [0.0, 1500.0])
-def test_a_small_zone_that_comes_back_cold_is_not_pushed_over(killed: float, told_ms: float) -> None:
+@pytest.mark.parametrize("list_delay_ms", [0.0, 1500.0])
+def test_a_small_zone_that_comes_back_cold_is_not_pushed_over(killed: float, list_delay_ms: float) -> None:
     """Three of forty servers, near to a third of the agents: with an attempt a window from each, they fall over."""
-    fleet = Mass(
+    fleet = FleetScenario(
         FLEET,
         120,
         40,
-        Fault(told_ms=told_ms, killed=killed, lost=5000.0, back=8000.0),
+        Fault(list_delay_ms=list_delay_ms, killed_share=killed, lost=5000.0, back=8000.0),
         None,
         0.5,
         few=3,
         length_ms=13000.0,
     )
-    found = play(fleet, 1)
-    assert not found.broken and found.worst < 1.0, f"{found.worst:.2f} of the limit, {found.by_told:.0%} by told"
+    found = simulate_fleet(fleet, 1)
+    assert not found.broken and found.peak_cold_load < 1.0, (
+        f"{found.peak_cold_load:.2f} of the limit, {found.informed_share:.0%} by told"
+    )
     assert found.to_cold and found.served > 0.9 * found.asked
 
 
 def test_a_fleet_whose_servers_are_all_cold_is_served_from_its_first_request() -> None:
-    one = Play(Mass(FLEET, 120, 12, Fault(zone=None), None, 0.3, length_ms=4000.0), 2)
+    one = FleetSimulation(FleetScenario(FLEET, 120, 12, Fault(zone=None), None, 0.3, length_ms=4000.0), 2)
     for server in one.servers:
         one.rise(server)
     one.tell(one.servers)
     found = one.run()
-    assert found.worst < 1.0 and found.served > 0.6 * found.asked and found.refused < 0.1 * found.asked
+    assert found.peak_cold_load < 1.0 and found.served > 0.6 * found.asked and found.refused < 0.1 * found.asked
 
 
 def test_one_seed_gives_one_run() -> None:
-    fleet = Mass(FLEET, 120, 20, Fault(lost=500.0, back=1000.0), Release(300.0, 500.0), few=2, length_ms=1500.0)
-    assert play(fleet, 3) == play(fleet, 3) != play(fleet, 4)
+    fleet = FleetScenario(
+        FLEET, 120, 20, Fault(lost=500.0, back=1000.0), Release(300.0, 500.0), few=2, length_ms=1500.0
+    )
+    assert simulate_fleet(fleet, 3) == simulate_fleet(fleet, 3) != simulate_fleet(fleet, 4)
 
 
 @pytest.mark.parametrize("mass", [RELEASE, BACK], ids=["released", "sent back"])
-def test_a_release_over_a_fleet_keeps_all_five_rules(mass: Mass) -> None:
-    found = play(mass, 1)
+def test_a_release_over_a_fleet_keeps_all_five_rules(mass: FleetScenario) -> None:
+    found = simulate_fleet(mass, 1)
     assert not found.broken, found.violations
     assert found.served > 0.5 * found.asked and found.failed and found.to_cold
     assert all(found.checked[rule] > 10 for rule in ("answered", "effects", "cold", "exposure")), found.checked
 
 
-def drawn_fleet(seed: int) -> Mass:
+def drawn_fleet(seed: int) -> FleetScenario:
     """Other deadlines, effects, caps, windows, cold times and sizes: nothing is fitted to one deployment."""
     rng = random.Random(seed)
     stages = sorted(rng.uniform(0.05, 0.9) for _ in range(rng.randint(1, 3)))
@@ -113,24 +117,30 @@
             }
         }
     )
-    return Mass(
+    return FleetScenario(
         drawn,
         rng.randint(1, 60),
         rng.randint(6, 20),
-        Fault(lost=3000.0, back=4500.0, told_ms=rng.choice((0.0, 400.0)), killed=rng.uniform(0.0, 1.0)),
-        Release(800.0, 1000.0, back=rng.choice((None, 3000.0)), bad=rng.choice((0.0, 0.3)), drain_ms=700.0),
+        Fault(lost=3000.0, back=4500.0, list_delay_ms=rng.choice((0.0, 400.0)), killed_share=rng.uniform(0.0, 1.0)),
+        Release(
+            800.0,
+            1000.0,
+            rollback_at=rng.choice((None, 3000.0)),
+            error_share=rng.choice((0.0, 0.3)),
+            drain_ms=700.0,
+        ),
         rng.uniform(0.2, 1.2),
         work_ms=rng.choice((60.0, 200.0)),
         length_ms=6000.0,
-        late_ms=rng.choice((0.0, 600.0)),
-        leave=rng.uniform(0.0, 0.1),
+        max_news_delay_ms=rng.choice((0.0, 600.0)),
+        leave_share=rng.uniform(0.0, 0.1),
     )
 
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get("OTTERQUAY_DRAWS", "8"))))
 def test_fleets_of_drawn_settings_keep_all_five_rules(seed: int) -> None:
-    found = play(drawn_fleet(seed), seed)
-    assert not found.broken and found.served, (found.violations, found.worst)
+    found = simulate_fleet(drawn_fleet(seed), seed)
+    assert not found.broken and found.served, (found.violations, found.peak_cold_load)
 
 
 @pytest.mark.parametrize("seed", [287, 462])
@@ -143,7 +153,7 @@
     of seed 287 came where the list held cold servers only, all of them their agent's first in the window, 52 by
     agents without an answer in it. Agents now take turns at cold servers while no warm one answers them.
     """
-    found = play(drawn_fleet(seed), seed)
+    found = simulate_fleet(drawn_fleet(seed), seed)
     assert not found.violations["cold"], found.violations
 
 
@@ -156,8 +166,8 @@
     turns went by answers alone. As the fault was found, the three cases broke the rule 32, 36 and 2 times.
     """
     fleet = drawn_fleet(seed)
-    fault = fleet.fault if killed is None else replace(fleet.fault, killed=killed)
-    found = play(replace(fleet, fault=fault), seed)
+    fault = fleet.fault if killed is None else replace(fleet.fault, killed_share=killed)
+    found = simulate_fleet(replace(fleet, fault=fault), seed)
     assert not found.violations["cold"], found.violations
 
 
@@ -194,9 +204,11 @@
 ) -> None:
     mass = {
         "drains": replace(RELEASE, release=Release(1000.0, 1200.0, drain_ms=4000.0)),  # over the rule's grace
-        "cold": Mass(FLEET, 60, 12, Fault(lost=1000.0, back=2000.0), None, 1.5, length_ms=4000.0),  # too much asked
+        "cold": FleetScenario(
+            FLEET, 60, 12, Fault(lost=1000.0, back=2000.0), None, 1.5, length_ms=4000.0
+        ),  # too much asked
         "exposure": replace(RELEASE, service=service(rollout={"stage": [{"share": "60%", "cap": "5%"}]})),
     }.get(rule, RELEASE)
-    assert not play(mass, 1).broken
+    assert not simulate_fleet(mass, 1).broken
     guard_out(monkeypatch)
-    assert play(mass, 1).violations[rule]
+    assert simulate_fleet(mass, 1).violations[rule]
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -20,7 +20,7 @@
 from otterquay.lab.auditor import RULES
 from otterquay.lab.day import load_day
 from otterquay.lab.sim import play_simulated
-from otterquay.lab.simloop import Machine, Network, Outside, SimLoop, Stuck, simulate
+from otterquay.lab.simloop import Machine, Network, NoProgressError, RealIOError, SimLoop, simulate
 
 BAD_DAY = Path(__file__).parent.parent / "examples" / "bad-day.hcl"
 DEMO = Path(search.__file__).parents[1] / "cli" / "demo-day.hcl"
@@ -186,9 +186,9 @@
         while True:
             await asyncio.sleep(0)
 
-    with pytest.raises(Stuck, match="nothing is left"):
+    with pytest.raises(NoProgressError, match="nothing is left"):
         simulate(waits(), 1)
-    with pytest.raises(Stuck, match="time does not move"):
+    with pytest.raises(NoProgressError, match="time does not move"):
         simulate(spins(), 1)
 
 
@@ -200,7 +200,7 @@
         (tmp_path / "x").write_text("no")
 
     for work in (connects, writes):
-        with pytest.raises(Outside):
+        with pytest.raises(RealIOError):
             simulate(work(), 1)
     socket.socket().close()  # and none afterwards
 
@@ -223,7 +223,7 @@
             writer.write(text)
             log.append((await reader.read(100), round(loop.time() - begin, 1)))
 
-        await loop.on(far, serve())
+        await loop.run_on(far, serve())
         reader, writer = await asyncio.open_connection("127.0.0.1", 77)
         await say(b"one")
         loop.pause(far, True)
@@ -271,7 +271,7 @@
 ) -> None:
     day, service = load_day(BAD_DAY)
     played = play_simulated(day, service, seed)
-    assert not played.result.report.broken and not played.faults, played.result.report.violations
+    assert not played.result.report.broken and not played.program_errors, played.result.report.violations
     assert all(played.result.report.checked[rule] > 0 for rule in RULES if rule != "drains")
     monkeypatch.setattr(Standstill, "waited", lambda self, now: 0.0)
     assert play_simulated(day, service, seed).result.report.violations["answered"]
@@ -281,17 +281,19 @@
     day, service = load_day(BAD_DAY)
     day = day.model_copy(update={"duration": 18000.0})
     for seed in (18, 22, 33, 42):
-        found = search.trial(search.draw(day, service, seed), service, seed)
-        assert not found.bad, found
+        found = search.play_day(search.draw_faults(day, service, seed), service, seed)
+        assert not found.is_failure, found
 
 
 def test_many_agents_share_a_small_fleet() -> None:
     day, service = load_day(BAD_DAY)
-    day = search.grown(day, service, 40, random.Random(1)).model_copy(update={"duration": 6000.0, "fault": []})
+    day = search.with_agents(day, service, 40, random.Random(1)).model_copy(
+        update={"duration": 6000.0, "fault": []}
+    )
     agent = service.agent.model_copy(update={"count": 40})
     played = play_simulated(day, service.model_copy(update={"agent": agent}), 1)
     summary = played.summary()
-    assert not played.result.report.broken and not played.faults
+    assert not played.result.report.broken and not played.program_errors
     assert summary["operations_served"] > 0.95 * summary["operations"] > 400
 
 
@@ -311,8 +313,8 @@
     service_file = BAD_DAY.parent / day.service
     (tmp_path / "small.hcl").write_text(search.day_text(small, str(service_file), "a note\nof two lines"))
     read, service = load_day(tmp_path / "small.hcl")
-    again = search.trial(read, service, 1)
-    assert again.broken and again.digest == search.trial(small, service, 1).digest
+    again = search.play_day(read, service, 1)
+    assert again.broken and again.digest == search.play_day(small, service, 1).digest
 
 
 def test_the_commands_play_and_search(tmp_path: Path) -> None:
@@ -336,4 +338,4 @@
 def test_a_day_of_three_slow_links_keeps_the_cap_by_the_traffic() -> None:
     """Found by `lab search`; the module's own books (`rulebook`) show no breach at the time of sending."""
     day, config = load_day(BAD_DAY)
-    assert not search.trial(search.draw(day, config, 747), config, 747).broken
+    assert not search.play_day(search.draw_faults(day, config, 747), config, 747).broken
