--- a/otterquay/lab/__init__.py
+++ b/otterquay/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: days from a script, played against real agents, judged from the traffic."""
+"""The lab: plays scripted days against real agents and audits the recorded traffic."""
--- a/otterquay/lab/auditor.py
+++ b/otterquay/lab/auditor.py
@@ -1,9 +1,10 @@
-"""Judges the five rules from what crossed the sockets, by books of its own.
+"""Checks the five rules against the traffic that the stand-ins recorded.
 
-It reads the stand-ins' tape and the settings that everyone knows, never an agent's log or state. Ends see one
-crossing at slightly different times; `tolerance_s` is what that may come to, twice the longest stall of the
-stand-ins' own loop comes on top, and every doubt within it goes to the agent. It does not judge whether a safe
-request had two attempts out at once: no socket shows when an agent stops waiting behind a cut link.
+Reads only the stand-ins' tape and the service settings, never an agent's log or state. The two ends of a connection
+see the same message at slightly different times: `tolerance_s` bounds that difference, and twice the longest stall
+of the stand-ins' own event loop is added to it. Any doubt within that sum is resolved in favour of the agent. Not
+checked is whether a safe request had two attempts in flight at once: no socket shows when an agent stops waiting
+behind a severed link.
 """
 
 from __future__ import annotations
@@ -16,150 +17,156 @@
 from otterquay.config.schema import RequestClass, Service
 from otterquay.standins import tape as tp
 
-News = TypeVar("News", tp.ToldStage, tp.ToldServer)
+Update = TypeVar("Update", tp.ToldStage, tp.ToldServer)
 NEVER = float("inf")
 RULES = ("answered", "effects", "drains", "cold", "exposure")
 
 
 @dataclass(slots=True)
 class Report:
-    """Violations by rule, each in words, and how often each rule was put to the test."""
+    """Descriptions of the violations, and the number of checks, by rule."""
 
     violations: dict[str, list[str]] = field(default_factory=lambda: {rule: [] for rule in RULES})
     checked: dict[str, int] = field(default_factory=lambda: dict.fromkeys(RULES, 0))
 
     @property
     def broken(self) -> bool:
-        """Whether any rule was broken."""
+        """Whether any rule was violated."""
         return any(self.violations.values())
 
 
 @dataclass(frozen=True, slots=True)
-class _Told(Generic[News]):
-    """News that an agent may act by from `since` and has to from `at`: a slow link leaves open when it came, a cut
-    whether it did (then `at` is never)."""
+class _Delivery(Generic[Update]):
+    """An update that an agent may act on from `earliest` and must act on from `latest`.
 
-    since: float
-    at: float
-    news: News
+    The two differ where a slow link leaves open when the update arrived; `latest` is `NEVER` where a cut link
+    leaves open whether it did.
+    """
+
+    earliest: float
+    latest: float
+    update: Update
 
 
 @dataclass(slots=True)
-class _Life:
-    """One life of an agent, from its start to its end."""
+class _Incarnation:
+    """One run of an agent process, from its start to its end."""
 
     agent: int
-    since: float
-    until: float = float("inf")
-    kind: str = "running"
-    stages: list[_Told[tp.ToldStage]] = field(default_factory=list)
-    servers: dict[int, list[_Told[tp.ToldServer]]] = field(default_factory=lambda: defaultdict(list))
-    asked: list[tp.Asked] = field(default_factory=list)
-    arrived: list[tp.Arrived] = field(default_factory=list)
+    started_at: float
+    ended_at: float = float("inf")
+    end_kind: str = "running"
+    stages: list[_Delivery[tp.ToldStage]] = field(default_factory=list)
+    servers: dict[int, list[_Delivery[tp.ToldServer]]] = field(default_factory=lambda: defaultdict(list))
+    requests: list[tp.Asked] = field(default_factory=list)
+    attempts: list[tp.Arrived] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _Try:
-    """One try of a client and all that became of it."""
+class _Request:
+    """One request of a client, with its answers, the end of its connection, its attempts and their replies."""
 
     asked: tp.Asked
-    life: _Life | None
+    incarnation: _Incarnation | None
     answers: list[tp.Answered] = field(default_factory=list)
-    gone: list[tp.Left | tp.Lost] = field(default_factory=list)
-    arrived: list[tp.Arrived] = field(default_factory=list)
-    replied: dict[tuple[str, int], tp.Replied] = field(default_factory=dict)
+    disconnects: list[tp.Left | tp.Lost] = field(default_factory=list)
+    attempts: list[tp.Arrived] = field(default_factory=list)
+    replies: dict[tuple[str, int], tp.Replied] = field(default_factory=dict)
 
-    def may_have_run(self, arrival: tp.Arrived) -> bool:
-        """Whether no answer vouches that the appliance did not look at it."""
-        reply = self.replied.get((arrival.tag, arrival.server))
+    def may_have_run(self, attempt: tp.Arrived) -> bool:
+        """Whether the appliance did not confirm that it ignored the attempt."""
+        reply = self.replies.get((attempt.tag, attempt.server))
         return reply is None or reply.kind != "not_seen"
 
 
 class Auditor:
-    """All that a tape tells, sorted into the books that the rules need."""
+    """Indexes the events of a tape and checks the rules on them."""
 
     def __init__(self, tape: tp.Tape, service: Service, tolerance_s: float = 0.25) -> None:
-        # where the observer itself stood still, what it saw may be late at both ends by as much
+        # during a stall of the observer's event loop both ends of an interval may be recorded late
         stalls = [c.seconds for c in tape.crossings if isinstance(c, tp.Stalled)]
         self._service, self._slack = service, tolerance_s + 2 * max(stalls, default=0.0)
-        self._rules, self._roll = service.rules, service.rollout
-        self._lives: dict[int, list[_Life]] = defaultdict(list)
-        self._tries: dict[str, _Try] = {}
-        self._ran: dict[str, list[tp.Ran]] = defaultdict(list)
+        self._rules, self._rollout = service.rules, service.rollout
+        self._incarnations: dict[int, list[_Incarnation]] = defaultdict(list)
+        self._requests: dict[str, _Request] = {}
+        self._effects_by_op: dict[str, list[tp.Ran]] = defaultdict(list)
         self._started: dict[tuple[int, int], tp.Started] = {}
-        self._work: dict[tuple[int, int], list[tp.Arrived]] = defaultdict(list)
-        self._surplus = 0
-        self._stood: dict[int, list[tp.Stood]] = defaultdict(list)
+        self._attempts_by_server: dict[tuple[int, int], list[tp.Arrived]] = defaultdict(list)
+        self._unexpected_answers = 0
+        self._pauses: dict[int, list[tp.Stood]] = defaultdict(list)
         for c in tape.crossings:
             if isinstance(c, tp.Stood):
-                self._stood[c.agent].append(c)
-        self._severed = [c for c in tape.crossings if isinstance(c, tp.Severed)]
+                self._pauses[c.agent].append(c)
+        self._link_faults = [c for c in tape.crossings if isinstance(c, tp.Severed)]
         for crossing in sorted(tape.crossings, key=lambda c: c.at):
-            self._book(crossing)
-
-    def _awake(self, agent: int, at: float) -> float:
-        """The first time from `at` on at which the agent did not stand still."""
-        return max([at, *(s.at for s in self._stood[agent] if s.since <= at <= s.at)])
-
-    def _told(self, news: News) -> _Told[News] | None:
-        """When news had reached its agent, at the earliest and at the latest: `NEVER` where a cut began about then
-        and may have kept it off, None where it did."""
-        agent, at = news.agent, news.at
-        for cut in self._severed:
-            if agent in cut.agents and cut.since - self._slack <= at <= cut.at:
-                if cut.lost and at > cut.since + self._slack:
+            self._record(crossing)
+
+    def _next_running(self, agent: int, at: float) -> float:
+        """The first time from `at` on at which the agent's process was not paused."""
+        return max([at, *(s.at for s in self._pauses[agent] if s.since <= at <= s.at)])
+
+    def _delivery(self, update: Update) -> _Delivery[Update] | None:
+        """When an update reached its agent, at the earliest and at the latest.
+
+        The latest is `NEVER` where a link was cut at about the time of the update and may have dropped it. None
+        where the cut did drop it.
+        """
+        agent, at = update.agent, update.at
+        for fault in self._link_faults:
+            if agent in fault.agents and fault.since - self._slack <= at <= fault.at:
+                if fault.lost and at > fault.since + self._slack:
                     return None
-                at = NEVER if cut.lost else cut.at
-        return _Told(self._awake(agent, news.at), self._awake(agent, at), news)
+                at = NEVER if fault.lost else fault.at
+        return _Delivery(self._next_running(agent, update.at), self._next_running(agent, at), update)
 
-    def _late(self, at: float, span: float = 0.0) -> float:
-        """How late slow links may have brought what arrived at this time, or within `span` before."""
-        return max((c.late_s for c in self._severed if c.since <= at <= c.at + span), default=0.0)
+    def _link_delay(self, at: float, span: float = 0.0) -> float:
+        """The largest delay that slow links may have added to messages that arrived within `span` before `at`."""
+        return max((c.late_s for c in self._link_faults if c.since <= at <= c.at + span), default=0.0)
 
-    def _life(self, agent: int, at: float) -> _Life | None:
-        lives = self._lives[agent]
-        return lives[-1] if lives and at <= lives[-1].until else None
+    def _incarnation_at(self, agent: int, at: float) -> _Incarnation | None:
+        incarnations = self._incarnations[agent]
+        return incarnations[-1] if incarnations and at <= incarnations[-1].ended_at else None
 
-    def _book(self, c: tp.Kinds) -> None:
+    def _record(self, c: tp.Kinds) -> None:
         match c:
             case tp.AgentUp():
-                self._lives[c.agent].append(_Life(c.agent, c.at))
+                self._incarnations[c.agent].append(_Incarnation(c.agent, c.at))
             case tp.AgentDown():
-                if life := self._life(c.agent, c.at):
-                    life.until, life.kind = c.at, c.kind
+                if incarnation := self._incarnation_at(c.agent, c.at):
+                    incarnation.ended_at, incarnation.end_kind = c.at, c.kind
             case tp.Asked():
-                life = self._life(c.agent, c.at)
-                self._tries[c.id] = _Try(c, life)
-                if life:
-                    life.asked.append(c)
+                incarnation = self._incarnation_at(c.agent, c.at)
+                self._requests[c.id] = _Request(c, incarnation)
+                if incarnation:
+                    incarnation.requests.append(c)
             case tp.Answered():
-                self._tries[c.id].answers.append(c)
+                self._requests[c.id].answers.append(c)
             case tp.Left() | tp.Lost():
-                self._tries[c.id].gone.append(c)
+                self._requests[c.id].disconnects.append(c)
             case tp.Surplus():
-                self._surplus += 1
+                self._unexpected_answers += 1
             case tp.Arrived():
-                self._work[c.server, c.incarnation].append(c)
-                if one := self._tries.get(c.id):
-                    one.arrived.append(c)
-                    if one.life:
-                        one.life.arrived.append(c)
+                self._attempts_by_server[c.server, c.incarnation].append(c)
+                if request := self._requests.get(c.id):
+                    request.attempts.append(c)
+                    if request.incarnation:
+                        request.incarnation.attempts.append(c)
             case tp.Replied():
-                if one := self._tries.get(c.id):
-                    one.replied[c.tag, c.server] = c
+                if request := self._requests.get(c.id):
+                    request.replies[c.tag, c.server] = c
             case tp.Ran():
-                self._ran[c.op].append(c)
+                self._effects_by_op[c.op].append(c)
             case tp.Started():
                 self._started[c.server, c.incarnation] = c
             case tp.ToldServer():
-                if (life := self._life(c.agent, c.at)) and (told := self._told(c)):
-                    life.servers[c.server].append(told)
+                if (incarnation := self._incarnation_at(c.agent, c.at)) and (server_delivery := self._delivery(c)):
+                    incarnation.servers[c.server].append(server_delivery)
             case tp.ToldStage():
-                if (life := self._life(c.agent, c.at)) and (heard := self._told(c)):
-                    life.stages.append(heard)
+                if (incarnation := self._incarnation_at(c.agent, c.at)) and (stage_delivery := self._delivery(c)):
+                    incarnation.stages.append(stage_delivery)
 
     def judge(self) -> Report:
-        """All five rules."""
+        """Check all five rules."""
         report = Report()
         self._answered(report)
         self._effects(report)
@@ -168,94 +175,107 @@
         self._exposure(report)
         return report
 
-    # --- rule 1 ---
+    # --- rule 1: each request gets one answer in time ---
     def _answered(self, report: Report) -> None:
-        broken = report.violations["answered"]
-        broken.extend(["bytes on a connection on which nothing was owed"] * self._surplus)
+        violations = report.violations["answered"]
+        violations.extend(["bytes on a connection without an open request"] * self._unexpected_answers)
         slack = self._rules.answer_slack / 1e3 + self._slack
-        for id, one in self._tries.items():
+        for id, request in self._requests.items():
             report.checked["answered"] += 1
-            asked = one.asked
-            if len(one.answers) > 1:
-                broken.append(f"{id}: {len(one.answers)} final answers")
-            if one.answers:
-                # while it stands still it can answer nothing; what is overdue then is due at once
-                late = one.answers[0].at - self._awake(asked.agent, asked.at + asked.budget_s)
+            asked = request.asked
+            if len(request.answers) > 1:
+                violations.append(f"{id}: {len(request.answers)} final answers")
+            if request.answers:
+                # a paused agent cannot answer; what became overdue meanwhile is due when it resumes
+                late = request.answers[0].at - self._next_running(asked.agent, asked.at + asked.budget_s)
                 if late > slack:
-                    broken.append(f"{id}: answered {late * 1e3:.0f} ms after the client's time")
-                for arrival in one.arrived:
-                    if arrival.at > one.answers[0].at + self._slack + self._late(arrival.at):
-                        broken.append(f"{id}: sent to server {arrival.server} after its final answer")
-            elif not self._excused(one):
-                broken.append(f"{id}: no answer from agent {asked.agent}")
-
-    def _excused(self, one: _Try) -> bool:
-        """No duty: the agent did not run, was killed holding it, or stopped before it took it."""
-        life, asked = one.life, one.asked
-        if life is None:
+                    violations.append(f"{id}: answered {late * 1e3:.0f} ms after the client's deadline")
+                for attempt in request.attempts:
+                    if attempt.at > request.answers[0].at + self._slack + self._link_delay(attempt.at):
+                        violations.append(f"{id}: sent to server {attempt.server} after its final answer")
+            elif not self._excused(request):
+                violations.append(f"{id}: no answer from agent {asked.agent}")
+
+    def _excused(self, request: _Request) -> bool:
+        """Whether a missing answer is allowed.
+
+        It is when the agent did not run, was killed while it held the request, or stopped before it read it, and
+        when the client left early.
+        """
+        incarnation, asked = request.incarnation, request.asked
+        if incarnation is None:
             return True
-        due = self._awake(asked.agent, asked.at + asked.budget_s)
+        due = self._next_running(asked.agent, asked.at + asked.budget_s)
         slack = self._rules.answer_slack / 1e3 + self._slack
         grace = asked.at + asked.budget_s + slack
-        if self._awake(asked.agent, grace) > grace:
-            due = self._awake(asked.agent, grace)  # it was stopped while an answer was not overdue yet
+        if self._next_running(asked.agent, grace) > grace:
+            due = self._next_running(asked.agent, grace)  # it was paused before the answer was overdue
         if due > asked.at + asked.budget_s:
-            due += slack  # it went on: from then it has as long as for any other answer that is due
-        if any(isinstance(g, tp.Left) and g.at < due for g in one.gone):
-            return True  # the client left early, or before an agent that had stood still had to answer
-        ended = life.until <= max((g.at for g in one.gone), default=asked.at + asked.budget_s) + self._slack
-        return ended and (life.kind == "killed" or not one.arrived)
-
-    # --- rule 2 ---
-    def _class(self, one: _Try) -> RequestClass:
-        return self._service.class_[one.asked.cls]
+            due += slack  # after it resumes it has as long as for any other answer that is due
+        if any(isinstance(g, tp.Left) and g.at < due for g in request.disconnects):
+            return True  # the client left early, or before an agent that had been paused had to answer
+        ended = (
+            incarnation.ended_at
+            <= max((g.at for g in request.disconnects), default=asked.at + asked.budget_s) + self._slack
+        )
+        return ended and (incarnation.end_kind == "killed" or not request.attempts)
+
+    # --- rule 2: no effect is repeated beyond what the class allows ---
+    def _class(self, request: _Request) -> RequestClass:
+        return self._service.class_[request.asked.cls]
 
     def _effects(self, report: Report) -> None:
-        broken = report.violations["effects"]
-        for id, one in self._tries.items():
-            cls, ran = self._class(one), [a for a in one.arrived if one.may_have_run(a)]
+        violations = report.violations["effects"]
+        for id, request in self._requests.items():
+            cls, ran = self._class(request), [a for a in request.attempts if request.may_have_run(a)]
             report.checked["effects"] += cls.effect != "safe"
-            for earlier, later in zip(one.arrived, one.arrived[1:], strict=False):
+            for earlier, later in zip(request.attempts, request.attempts[1:], strict=False):
                 if not (first := next((a for a in ran if a.at <= earlier.at), None)) or cls.effect == "safe":
                     continue
                 if cls.effect == "unsafe":
-                    broken.append(f"{id}: sent again after server {first.server}, where it may have run")
+                    violations.append(f"{id}: sent again after server {first.server}, where it may have run")
                 elif cls.scope == "zone" and later.zone != first.zone:
-                    broken.append(f"{id}: a keyed request sent on from zone {first.zone} to {later.zone}")
+                    violations.append(f"{id}: a keyed request was retried from zone {first.zone} to {later.zone}")
                 elif later.at - first.at > cls.repeat_window / 1e3 + self._slack:
-                    broken.append(f"{id}: a keyed request sent again after its repeat window")
+                    violations.append(f"{id}: a keyed request was retried after its repeat window")
             guarded = cls.effect == "unsafe" or (cls.effect == "keyed" and cls.scope != "all")
-            if guarded and ran and any(a.kind == "refused" for a in one.answers):
-                broken.append(f"{id}: refused as harmless, though it may have run at server {ran[0].server}")
-        effects = {one.asked.op: self._class(one).effect for one in self._tries.values()}
-        for op, runs in self._ran.items():
-            real = [r for r in runs if not r.repeat]
-            if effects.get(op) in ("unsafe", "keyed") and len(real) > 1:
-                broken.append(f"{op}: took effect {len(real)} times, at servers {[r.server for r in real]}")
-
-    # --- rule 3 ---
+            if guarded and ran and any(a.kind == "refused" for a in request.answers):
+                violations.append(f"{id}: refused as not run, though it may have run at server {ran[0].server}")
+        effects = {request.asked.op: self._class(request).effect for request in self._requests.values()}
+        for op, runs in self._effects_by_op.items():
+            first_runs = [r for r in runs if not r.repeat]
+            if effects.get(op) in ("unsafe", "keyed") and len(first_runs) > 1:
+                violations.append(
+                    f"{op}: took effect {len(first_runs)} times, at servers {[r.server for r in first_runs]}"
+                )
+
+    # --- rule 3: a draining server gets no new attempts ---
     def _drains(self, report: Report) -> None:
         grace = self._rules.drain_grace / 1e3 + self._slack
-        for life in self._every_life():
-            for arrival in life.arrived:
+        for incarnation in self._all_incarnations():
+            for attempt in incarnation.attempts:
                 since: float | None = None
-                for told in life.servers.get(arrival.server, []):
-                    word = told.news
-                    if word.state == "ready":
-                        since = None if told.since <= arrival.at else since
-                    elif word.incarnation in (0, arrival.incarnation) and since is None and told.at <= arrival.at:
-                        since = told.at
+                for delivery in incarnation.servers.get(attempt.server, []):
+                    update = delivery.update
+                    if update.state == "ready":
+                        since = None if delivery.earliest <= attempt.at else since
+                    elif (
+                        update.incarnation in (0, attempt.incarnation)
+                        and since is None
+                        and delivery.latest <= attempt.at
+                    ):
+                        since = delivery.latest
                 report.checked["drains"] += since is not None
-                if since is not None and arrival.at > since + grace:
+                if since is not None and attempt.at > since + grace:
                     report.violations["drains"].append(
-                        f"{arrival.id}: agent {life.agent} sent to server {arrival.server} "
-                        f"{(arrival.at - since) * 1e3:.0f} ms after it was told to stop"
+                        f"{attempt.id}: agent {incarnation.agent} sent to server {attempt.server} "
+                        f"{(attempt.at - since) * 1e3:.0f} ms after it was notified of the drain"
                     )
 
-    def _every_life(self) -> list[_Life]:
-        return [life for lives in self._lives.values() for life in lives]
+    def _all_incarnations(self) -> list[_Incarnation]:
+        return [incarnation for incarnations in self._incarnations.values() for incarnation in incarnations]
 
-    # --- rule 4 ---
+    # --- rule 4: informed agents do not overload a cold server ---
     def _cold(self, report: Report) -> None:
         rules = self._rules
         span, cold = rules.fall / 1e3, rules.cold / 1e3
@@ -263,91 +283,99 @@
             if not started.cold:
                 continue
             report.checked["cold"] += 1
-            work = self._work[key]
-            for last, arrival in enumerate(work):
-                age = arrival.at - started.at
+            attempts = self._attempts_by_server[key]
+            for last, attempt in enumerate(attempts):
+                age = attempt.at - started.at
                 if age > cold + span:
                     break
-                part = rules.start_capacity + (1 - rules.start_capacity) * min(1.0, age / cold)
-                first = bisect_left(work, arrival.at - span, key=lambda a: a.at)
-                window = work[first : last + 1]
+                capacity_share = rules.start_capacity + (1 - rules.start_capacity) * min(1.0, age / cold)
+                first = bisect_left(attempts, attempt.at - span, key=lambda a: a.at)
+                window = attempts[first : last + 1]
                 total = sum(a.work_s for a in window)
-                informed = sum(a.work_s for a in window if self._knew(a))
-                if total > rules.fall_multiple * started.capacity * part * span and informed * 3 >= total * 2:
+                informed = sum(a.work_s for a in window if self._knew_start(a))
+                if (
+                    total > rules.fall_multiple * started.capacity * capacity_share * span
+                    and informed * 3 >= total * 2
+                ):
                     report.violations["cold"].append(
                         f"server {started.server}: {total:.2f} core seconds in {span:g} s, {age:.1f} s after its "
-                        f"start, at {part:.0%} of its capacity of {started.capacity:g}"
+                        f"start, at {capacity_share:.0%} of its capacity of {started.capacity:g}"
                     )
                     break
 
-    def _knew(self, arrival: tp.Arrived) -> bool:
-        one = self._tries.get(arrival.id)
-        told = one.life.servers.get(arrival.server, []) if one and one.life else []
-        return any(t.news.incarnation == arrival.incarnation and t.at <= arrival.at for t in told)
+    def _knew_start(self, attempt: tp.Arrived) -> bool:
+        request = self._requests.get(attempt.id)
+        deliveries = request.incarnation.servers.get(attempt.server, []) if request and request.incarnation else []
+        return any(d.update.incarnation == attempt.incarnation and d.latest <= attempt.at for d in deliveries)
 
-    # --- rule 5 ---
+    # --- rule 5: attempts at a build on trial stay within its cap ---
     def _exposure(self, report: Report) -> None:
-        for life in self._every_life():
-            self._exposure_of(life, report)
-
-    def _builds(self, life: _Life, arrival: tp.Arrived) -> set[int]:
-        """The builds that the agent may have taken an attempt's server for."""
-        told = [t for t in life.servers.get(arrival.server, []) if t.news.build and t.since <= arrival.at]
-        known = next((i for i in range(len(told) - 1, -1, -1) if told[i].at <= arrival.at), None)
-        first = [] if known is not None else [arrival.build]
-        return {*first, *(t.news.build for t in told[known or 0 :])}
-
-    def _cap(self, told: tp.ToldStage | None, build: int) -> tuple[float, int] | None:
-        """Cap and stage for a build after this news; None when it is not on trial."""
-        newest = told.build if told else 0
+        for incarnation in self._all_incarnations():
+            self._check_exposure(incarnation, report)
+
+    def _possible_builds(self, incarnation: _Incarnation, attempt: tp.Arrived) -> set[int]:
+        """The builds that the agent may have assumed for the server of an attempt."""
+        deliveries = [
+            d for d in incarnation.servers.get(attempt.server, []) if d.update.build and d.earliest <= attempt.at
+        ]
+        known = next((i for i in range(len(deliveries) - 1, -1, -1) if deliveries[i].latest <= attempt.at), None)
+        first = [] if known is not None else [attempt.build]
+        return {*first, *(d.update.build for d in deliveries[known or 0 :])}
+
+    def _cap(self, update: tp.ToldStage | None, build: int) -> tuple[float, int] | None:
+        """Cap and stage of a build according to this update; None when the build is not on trial."""
+        newest = update.build if update else 0
         if build > newest:
-            return self._roll.stage[0].cap, 0
-        if told is None or build < newest or told.phase == "released":
+            return self._rollout.stage[0].cap, 0
+        if update is None or build < newest or update.phase == "released":
             return None
-        return told.cap if told.phase != "withdrawn" else 0.0, told.stage
+        return update.cap if update.phase != "withdrawn" else 0.0, update.stage
 
-    def _exposure_of(self, life: _Life, report: Report) -> None:
-        span, grace = self._roll.window / 1e3, self._rules.drain_grace / 1e3
+    def _check_exposure(self, incarnation: _Incarnation, report: Report) -> None:
+        span, grace = self._rollout.window / 1e3, self._rules.drain_grace / 1e3
         groups: dict[tuple[int, str], list[tp.Arrived]] = defaultdict(list)
-        asked: dict[str, list[float]] = defaultdict(list)
-        for one in life.asked:
-            asked[one.cls if self._roll.per_class else ""].append(self._awake(life.agent, one.at))  # when taken
-        cls_of = {a.id: self._tries[a.id].asked.cls for a in life.arrived}
-        for arrival in life.arrived:
-            builds = self._builds(life, arrival)
-            if len(builds) == 1:  # else nobody knows what the agent took it for
-                groups[builds.pop(), cls_of[arrival.id] if self._roll.per_class else ""].append(arrival)
-        for (build, cls), arrivals in groups.items():
-            caps = [(life.since, self._cap(None, build))]
-            caps += [(told.at, self._cap(told.news, build)) for told in life.stages]
-            open_from = [life.since, *(told.since for told in life.stages)]
-            for i, arrival in enumerate(arrivals):
-                slack = self._slack + self._late(arrival.at, span)
-                # what was in force within grace and tolerance may still be acted on, what is on its way already
-                last = bisect_right(open_from, arrival.at)
-                since = next((j for j in range(last - 1, 0, -1) if caps[j][0] <= arrival.at - grace - slack), 0)
+        request_times: dict[str, list[float]] = defaultdict(list)
+        for request in incarnation.requests:
+            request_times[request.cls if self._rollout.per_class else ""].append(
+                self._next_running(incarnation.agent, request.at)
+            )
+        cls_of = {a.id: self._requests[a.id].asked.cls for a in incarnation.attempts}
+        for attempt in incarnation.attempts:
+            builds = self._possible_builds(incarnation, attempt)
+            if len(builds) == 1:  # otherwise it is open which build the agent assumed
+                groups[builds.pop(), cls_of[attempt.id] if self._rollout.per_class else ""].append(attempt)
+        for (build, cls), attempts in groups.items():
+            caps = [(incarnation.started_at, self._cap(None, build))]
+            caps += [(delivery.latest, self._cap(delivery.update, build)) for delivery in incarnation.stages]
+            effective_from = [incarnation.started_at, *(delivery.earliest for delivery in incarnation.stages)]
+            for i, attempt in enumerate(attempts):
+                slack = self._slack + self._link_delay(attempt.at, span)
+                # a cap that was in force within grace and slack before the attempt may still apply, and one whose
+                # update is on its way may apply already
+                last = bisect_right(effective_from, attempt.at)
+                since = next((j for j in range(last - 1, 0, -1) if caps[j][0] <= attempt.at - grace - slack), 0)
                 allowed = [cap for _, cap in caps[since:last]]
                 report.checked["exposure"] += allowed[-1] is not None
                 if not allowed or any(cap is None for cap in allowed):
                     continue
                 limit = max(cap[0] for cap in allowed if cap)
                 stage = max(cap[1] for cap in allowed if cap)
-                # where the cap in force was lowered, attempts count afresh from when that bound
-                start = arrival.at - span + slack
+                # after a lowered cap became binding, only attempts made since then count
+                start = attempt.at - span + slack
                 for j in range(since, 0, -1):
-                    held, before = caps[j][1], caps[j - 1][1]
-                    if caps[j][0] < NEVER and held is not None and (before is None or before[0] > held[0]):
+                    current, before = caps[j][1], caps[j - 1][1]
+                    if caps[j][0] < NEVER and current is not None and (before is None or before[0] > current[0]):
                         start = max(start, caps[j][0] + grace + slack)
                         break
-                tries = sum(a.at > start for a in arrivals[: i + 1])
-                window = asked[cls]
-                taken = bisect_right(window, arrival.at + slack) - bisect_left(window, arrival.at - span - slack)
-                guarded = stage < self._roll.guarded_stages and (
-                    self._service.class_[cls_of[arrival.id]].effect != "safe"
+                count = sum(a.at > start for a in attempts[: i + 1])
+                times = request_times[cls]
+                requests = bisect_right(times, attempt.at + slack) - bisect_left(times, attempt.at - span - slack)
+                guarded = stage < self._rollout.guarded_stages and (
+                    self._service.class_[cls_of[attempt.id]].effect != "safe"
                 )
-                if tries > self._roll.free + limit * taken or guarded or (limit <= 0 and tries > 0):
+                if count > self._rollout.free + limit * requests or guarded or (limit <= 0 and count > 0):
                     report.violations["exposure"].append(
-                        f"{arrival.id}: agent {life.agent} made attempt {tries} at build {build}, of {taken} "
-                        f"requests under cap {limit:.0%}" + (", guarded stage" if guarded else "")
+                        f"{attempt.id}: agent {incarnation.agent} made attempt {count} at build {build}, of "
+                        f"{requests} requests under cap {limit:.0%}" + (", guarded stage" if guarded else "")
                     )
                     break
--- a/otterquay/lab/day.py
+++ b/otterquay/lab/day.py
@@ -1,4 +1,4 @@
-"""A day as a script: fleet, traffic, builds and timed faults, in HCL."""
+"""Schema of a scripted day in HCL: fleet, traffic, builds and timed faults."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class FleetPlan(Block):
-    """The machines; speeds are drawn between the two."""
+    """The machines; each gets a random speed between `speed_least` and `speed_most`."""
 
     machines: Positive
     cores: Positive = 2
@@ -55,20 +55,20 @@
 
 
 class AgentsPlan(Block):
-    """The agents: the zone of each and what part of the traffic it gets."""
+    """The zone of each agent and its relative share of the traffic."""
 
     zones: list[str] = Field(min_length=1)
     weights: list[float] = Field(min_length=1)
 
     @model_validator(mode="after")
-    def _agree(self) -> AgentsPlan:
+    def _check_lengths(self) -> AgentsPlan:
         if len(self.zones) != len(self.weights):
-            raise ValueError("zones and weights differ in number")
+            raise ValueError("zones and weights differ in length")
         return self
 
 
 class ClassPlan(Block):
-    """One class in the traffic; work is on a core of speed 1, drawn between the two."""
+    """One request class; work is random between `work_least` and `work_most` on a core of speed 1."""
 
     share: Share
     work_least: Duration
@@ -76,7 +76,7 @@
 
 
 class TrafficPlan(Block):
-    """Requests a second, first tries of all clients together, and how clients repeat."""
+    """Operations per second of all clients together, and the retry policy of the clients."""
 
     rate: float = Field(gt=0)
     retries: Count = 2
@@ -86,7 +86,7 @@
 
 
 class BuildPlan(Block):
-    """A build that the desk offers."""
+    """A build that the release desk offers, and its flaw."""
 
     at: Duration
     flaw: Literal["none", "errors", "class", "slow", "load", "late", "wrong", "shared"] = "none"
@@ -98,7 +98,7 @@
 
 
 class FaultPlan(Block):
-    """Something that goes wrong at a time, for a time; which fields it takes depends on the kind."""
+    """A fault with its start and length; which other fields apply depends on `kind`."""
 
     kind: FaultKind
     at: Duration
@@ -111,7 +111,7 @@
 
 
 class Day(Block):
-    """A whole day."""
+    """A scripted day."""
 
     service: str
     duration: Duration
@@ -123,7 +123,7 @@
 
 
 def load_day(path: Path) -> tuple[Day, Service]:
-    """A checked day with its service's settings; ConfigError for either."""
+    """Load and check a day and its service settings; raises ConfigError if either is invalid."""
     day = load_document(Day, path)
     service = load_service(path.parent / day.service)
     check_day(day, service, str(path))
@@ -131,7 +131,7 @@
 
 
 def check_day(day: Day, service: Service, source: str) -> None:
-    """ConfigError where the day names what the service does not know."""
+    """Raise ConfigError if the day refers to zones, classes or agents that do not exist."""
     problems = [
         f"agents.zones: {z!r} is none of {service.zones}" for z in day.agents.zones if z not in service.zones
     ]
@@ -154,9 +154,9 @@
         problems += [
             f"fault.{i}: zone {z!r} is none of {service.zones}" for z in fault.zones if z not in service.zones
         ]
-        needs = {"zone_cut": 2, "one_way": 2, "link_reset": 2, "link_slow": 2, "zone_loss": 1}.get(fault.kind, 0)
-        if len(fault.zones) != needs:
-            problems.append(f"fault.{i}: {fault.kind} takes {needs} zones, not {len(fault.zones)}")
+        required = {"zone_cut": 2, "one_way": 2, "link_reset": 2, "link_slow": 2, "zone_loss": 1}.get(fault.kind, 0)
+        if len(fault.zones) != required:
+            problems.append(f"fault.{i}: {fault.kind} takes {required} zones, not {len(fault.zones)}")
     if abs(sum(c.share for c in day.traffic.class_.values()) - 1) > 1e-6:
         problems.append("traffic.class: the shares do not add up to 100%")
     if problems:
--- a/otterquay/lab/hosts.py
+++ b/otterquay/lab/hosts.py
@@ -1,4 +1,4 @@
-"""Agents under test: each in a process of its own, or in this one for tests that need its hands on the code."""
+"""Hosts for agents under test: separate processes, or this process for tests that replace parts of the agent."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentPlacement:
-    """Where one agent stands in a run."""
+    """Number, zone, addresses and seed of one agent in a run."""
 
     number: int
     count: int
@@ -36,8 +36,8 @@
     chat: dict[str, str] = field(default_factory=dict)
 
 
-def placed(service: Service, place: AgentPlacement) -> Service:
-    """The settings as this agent gets them."""
+def agent_settings(service: Service, place: AgentPlacement) -> Service:
+    """The service settings with the values of this agent filled in."""
     agent = service.agent.model_copy(
         update={"number": place.number, "count": place.count, "zone": place.zone, "listen": "127.0.0.1:0"}
     )
@@ -50,7 +50,7 @@
 
 
 class AgentHost(Protocol):
-    """One agent that can be started, killed and stopped again and again."""
+    """An agent that can be started, killed and stopped repeatedly."""
 
     async def start(self) -> str: ...
 
@@ -62,8 +62,8 @@
 
 
 @dataclass(slots=True)
-class Inside:
-    """An agent in this process; `decider` may be a module with a guard taken out."""
+class InProcessAgent:
+    """An agent in this process; `decider` may be a decision module with a guard removed."""
 
     service: Service
     place: AgentPlacement
@@ -74,13 +74,13 @@
     starts: int = 0
 
     async def start(self) -> str:
-        """Start; returns the address that clients use."""
+        """Start the agent; returns its address for clients."""
         self.starts += 1
         rng = random.Random(self.place.seed * 1000 + self.starts)
         self.disk = self.disk.killed()
         store = await open_store(self.disk, silent(), asyncio.get_running_loop().time)
         self.runtime = WebAgent(
-            placed(self.service, self.place),
+            agent_settings(self.service, self.place),
             rng,
             silent(),
             self.key,
@@ -92,7 +92,7 @@
         return f"{host}:{port}"
 
     async def kill(self) -> None:
-        """End at once, answering nothing."""
+        """Abort without answering open requests."""
         if self.runtime:
             runtime, self.runtime = self.runtime, None
             runtime.post = lambda event: None  # type: ignore[method-assign]
@@ -104,18 +104,18 @@
             runtime.close()
 
     async def stop(self) -> None:
-        """End in good order."""
+        """Stop gracefully."""
         if self.runtime:
             runtime, self.runtime = self.runtime, None
             await runtime.stop()
 
     def pause(self, on: bool) -> None:
-        """Not possible here: a paused agent needs a process of its own."""
+        """Not supported: only an agent in a separate process can be paused."""
 
 
 @dataclass(slots=True)
 class AgentProcess:
-    """An agent as users run it: `otterquay agent FILE`, on its own."""
+    """An agent in a separate process, as users run it: `otterquay agent FILE`."""
 
     settings: Path
     place: AgentPlacement
@@ -125,8 +125,8 @@
     starts: int = 0
 
     async def start(self) -> str:
-        """Start and wait until it listens; RuntimeError with its last words when it ends instead."""
-        await self.kill()  # a place has one process at a time: it holds the store and the ports
+        """Start and wait until it listens; raises RuntimeError with its last log line if it exits instead."""
+        await self.kill()  # the process holds the store and the ports: there is one at a time
         self.starts += 1
         place = self.place
         command = [
@@ -174,19 +174,19 @@
         return line[1]
 
     async def kill(self) -> None:
-        """SIGKILL."""
+        """Send SIGKILL and wait for the exit."""
         if self.process and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     async def stop(self) -> None:
-        """SIGTERM, then wait for its end."""
+        """Send SIGTERM and wait for the exit."""
         if self.process and self.process.returncode is None:
             self.process.terminate()
             await self.process.wait()
 
     def pause(self, on: bool) -> None:
-        """Stand still, or go on."""
+        """Send SIGSTOP or SIGCONT."""
         if self.process and self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
--- a/otterquay/lab/mass/__init__.py
+++ b/otterquay/lab/mass/__init__.py
@@ -1,2 +1,5 @@
-"""The decision module of a whole fleet on simulated time, without sockets: hundreds of agents, servers that come
-back cold, releases, and the sum of what all agents send them. One seed gives one run."""
+"""Simulates the decision modules of a whole fleet on simulated time, without sockets.
+
+Hundreds of agents send to servers that start cold, with or without a release; the load of all agents together is
+checked. A run is reproducible from its seed.
+"""
--- a/otterquay/lab/mass/scenario.py
+++ b/otterquay/lab/mass/scenario.py
@@ -1,4 +1,4 @@
-"""What a fleet's run is made of, and what it came to. Times are ms from the start."""
+"""Scenario and result of a fleet simulation. Times are in ms from the start of the run."""
 
 from __future__ import annotations
 
@@ -9,11 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`zone` loses its servers (None: none) and has them back cold, which lists tell `told_ms` later (None: never);
-    a part `killed_share` of the agents starts anew at `back`."""
+    """Loss of the servers of one zone, and a restart of agents when they return.
 
-    lost: float = 8000.0
-    back: float = 13000.0
+    `zone` loses its servers at `lost_at` (None: no zone does). They return cold at `restored_at`, and the fleet
+    list shows them `list_delay_ms` later (None: never). A share `killed_share` of the agents restarts at
+    `restored_at`.
+    """
+
+    lost_at: float = 8000.0
+    restored_at: float = 13000.0
     zone: int | None = 0
     list_delay_ms: float | None = 0.0
     killed_share: float = 0.0
@@ -21,12 +25,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """Build 2 is offered and goes on by a stage each `step_ms`, until it is released or, at `rollback_at`, sent
-    back. Its servers fail a part `error_share` of what they get; each replaced server is told to drain `drain_ms`
-    before its end."""
+    """Release of build 2.
+
+    It is offered at `offered_at` and advances one stage every `stage_interval_ms`, until it is released or, at
+    `rollback_at`, rolled back. Its servers fail a share `error_share` of their attempts. A replaced server is
+    listed as draining for `drain_ms` before it stops.
+    """
 
-    offered: float = 2000.0
-    step_ms: float = 4000.0
+    offered_at: float = 2000.0
+    stage_interval_ms: float = 4000.0
     rollback_at: float | None = None
     error_share: float = 0.0
     drain_ms: float = 1500.0
@@ -34,28 +41,35 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetScenario:
-    """A fleet: `use` is the part of the warm servers' work that is asked for, `work_ms` a request's mean work. Each
-    agent hears all news up to `late_ms` late, each by a time of its own; a part `leave_share` of the clients give
-    up."""
+    """A fleet and the load on it.
+
+    `load` is the offered work as a share of the capacity of the warm servers, `work_ms` the mean work per request.
+    Each update of the list or the stage reaches each agent with its own delay of up to `max_news_delay_ms`. A share
+    `leave_share` of the clients abandons its request.
+    """
 
     service: Service
     agents: int
     servers: int
     fault: Fault = Fault()
     release: Release | None = None
-    use: float = 0.55
-    few: int | None = None  # servers in the first zone; None for even zones
+    load: float = 0.55
+    first_zone_servers: int | None = None  # None: the same number of servers in each zone
     work_ms: float = 150.0
-    length_ms: float = 20000.0
+    duration_ms: float = 20000.0
     max_news_delay_ms: float = 0.0
     leave_share: float = 0.0
 
 
 @dataclass(slots=True)
 class Result:
-    """`violations` and `checked` by rule, of all five; `peak_cold_load` is the most that a cold server was sent in
-    a span of rule 4, over what it bears without the slack for chance; `informed_share` the part of it from agents
-    told of its start; `to_cold` how many were sent to cold servers."""
+    """Counts of requests by outcome, and the violations of the five rules.
+
+    `violations` and `checked` are by rule. `peak_cold_load` is the largest number of attempts that a cold server
+    received in a window of rule 4, divided by the number it can handle (without the allowance for chance), and
+    `informed_share` the share of these attempts from agents that had been notified of its start. `to_cold` counts
+    attempts to cold servers.
+    """
 
     asked: int = 0
     served: int = 0
@@ -69,5 +83,5 @@
 
     @property
     def broken(self) -> bool:
-        """Whether any rule was."""
+        """Whether any rule was violated."""
         return any(self.violations.values())
--- a/otterquay/lab/mass/servers.py
+++ b/otterquay/lab/mass/servers.py
@@ -1,4 +1,4 @@
-"""A server in a fleet's run: it works on `CORES` requests at once, slower while it is cold, queues the others."""
+"""A simulated server: processes `CORES` requests at a time, slower while cold, and queues the others."""
 
 from __future__ import annotations
 
@@ -9,67 +9,75 @@
 
 from otterquay import interface as it
 
-CORES, QUEUE = 3, 60
-Clock = Callable[[float, Callable[[], None]], None]  # do something so many ms from now
-End = Callable[[it.Status], None]
+CORES = 3
+MAX_QUEUED = 60
+CallLater = Callable[[float, Callable[[], None]], None]  # schedules a callback after a delay in ms
+FinishAttempt = Callable[[it.Status], None]
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """`entry` is what the list would say of it, `listed` the life that it has said last."""
+    """`entry` is its current entry in the fleet list, `listed_incarnation` the incarnation last published there."""
 
     entry: it.ServerEntry
     up: bool = True
-    life: int = 1
-    listed: int = 1
+    incarnation: int = 1
+    listed_incarnation: int = 1
     started: float = -1e9
-    bad: float = 0.0  # part of what it gets that fails
-    busy: int = 0
-    queue: deque[End] = field(default_factory=deque)
-    out: dict[End, None] = field(default_factory=dict)  # in the order in which they came
-    came: deque[tuple[float, bool]] = field(default_factory=deque)  # when, by an agent that was told of its start
+    error_share: float = 0.0  # share of attempts that fail
+    busy_cores: int = 0
+    queue: deque[FinishAttempt] = field(default_factory=deque)
+    in_progress: dict[FinishAttempt, None] = field(default_factory=dict)  # queued or running, by order of arrival
+    arrivals: deque[tuple[float, bool]] = field(
+        default_factory=deque
+    )  # time, and whether the sender knew of the start
 
-    def able(self, when: float, rules: it.RuleFigures) -> float:
-        """The part of its whole capacity that it has at a time."""
-        least, cold = rules.start_capacity, max(rules.cold_ms, 1.0)
-        return least + (1 - least) * min(1.0, max(0.0, (when - self.started) / cold))
+    def capacity_share(self, at: float, rules: it.RuleFigures) -> float:
+        """Its share of the full capacity at a time; grows linearly while it is cold."""
+        start_share, cold = rules.start_capacity, max(rules.cold_ms, 1.0)
+        return start_share + (1 - start_share) * min(1.0, max(0.0, (at - self.started) / cold))
 
-    def take(self, end: End) -> bool:
-        """Queue an attempt; False when it is full."""
-        if len(self.queue) >= QUEUE:
+    def enqueue(self, finish: FinishAttempt) -> bool:
+        """Queue an attempt; False when the queue is full."""
+        if len(self.queue) >= MAX_QUEUED:
             return False
-        self.queue.append(end)
-        self.out[end] = None
+        self.queue.append(finish)
+        self.in_progress[finish] = None
         return True
 
-    def work(
-        self, now: Callable[[], float], later: Clock, rules: it.RuleFigures, work_ms: float, rng: random.Random
+    def start_work(
+        self,
+        now: Callable[[], float],
+        call_later: CallLater,
+        rules: it.RuleFigures,
+        work_ms: float,
+        rng: random.Random,
     ) -> None:
-        """Begin what it can."""
+        """Start queued attempts on idle cores."""
 
-        def worked(end: End, life: int) -> None:
-            if life != self.life:
+        def complete(finish: FinishAttempt, incarnation: int) -> None:
+            if incarnation != self.incarnation:
                 return
-            self.busy -= 1
-            self.out.pop(end, None)
-            end(it.Status.ERROR if self.bad and rng.random() < self.bad else it.Status.OK)
-            self.work(now, later, rules, work_ms, rng)
+            self.busy_cores -= 1
+            self.in_progress.pop(finish, None)
+            finish(it.Status.ERROR if self.error_share and rng.random() < self.error_share else it.Status.OK)
+            self.start_work(now, call_later, rules, work_ms, rng)
 
-        while self.queue and self.busy < CORES:
-            end, life = self.queue.popleft(), self.life
-            self.busy += 1
-            took = rng.expovariate(1 / work_ms) / self.able(now(), rules)
-            later(took, lambda end=end, life=life: worked(end, life))  # type: ignore[misc]
+        while self.queue and self.busy_cores < CORES:
+            finish, incarnation = self.queue.popleft(), self.incarnation
+            self.busy_cores += 1
+            service_ms = rng.expovariate(1 / work_ms) / self.capacity_share(now(), rules)
+            call_later(service_ms, lambda finish=finish, incarnation=incarnation: complete(finish, incarnation))  # type: ignore[misc]
 
-    def fall(self) -> list[End]:
-        """It ends; returns the attempts that it had."""
-        held = list(self.out)
-        self.up, self.life, self.busy = False, self.life + 1, 0
+    def stop(self) -> list[FinishAttempt]:
+        """Stop the server; returns its unfinished attempts."""
+        unfinished = list(self.in_progress)
+        self.up, self.incarnation, self.busy_cores = False, self.incarnation + 1, 0
         self.queue.clear()
-        self.out.clear()
-        self.came.clear()
-        return held
+        self.in_progress.clear()
+        self.arrivals.clear()
+        return unfinished
 
-    def rise(self, now: float) -> None:
-        """It is back, cold."""
+    def restart_cold(self, now: float) -> None:
+        """Start again, cold."""
         self.up, self.started = True, now
--- a/otterquay/lab/play.py
+++ b/otterquay/lab/play.py
@@ -1,4 +1,4 @@
-"""Plays a day and sums it up: answers, violations, stages, latencies."""
+"""Plays a day and summarises it: answers, violations, stages, latencies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from otterquay.config.schema import Service
 from otterquay.lab.auditor import Auditor, Report
 from otterquay.lab.day import Day
-from otterquay.lab.hosts import AgentHost, AgentPlacement, AgentProcess, Inside
+from otterquay.lab.hosts import AgentHost, AgentPlacement, AgentProcess, InProcessAgent
 from otterquay.lab.world import World
 from otterquay.standins import tape as tp
 
@@ -24,29 +24,29 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a day came to; `summary` is the object that `--json` prints."""
+    """The result of a day; `summary` is the object that `--json` prints."""
 
     tape: tp.Tape
     report: Report
     latency: dict[str, HdrHistogram] = field(default_factory=dict)
 
     def summary(self) -> dict[str, Any]:
-        """Requests are tries of clients; latencies are whole operations from their first due time."""
+        """Each retry of a client is a request; latencies are of whole operations, from their first due time."""
         answers: Counter[str] = Counter()
         ops: set[str] = set()
         served: set[str] = set()
-        op_of: dict[str, str] = {}
+        op_by_request: dict[str, str] = {}
         stages: list[dict[str, Any]] = []
-        begin = self.tape.crossings[0].at if self.tape.crossings else 0.0
+        started_at = self.tape.crossings[0].at if self.tape.crossings else 0.0
         for c in self.tape.crossings:
             match c:
                 case tp.Asked():
                     ops.add(c.op)
-                    op_of[c.id] = c.op
+                    op_by_request[c.id] = c.op
                 case tp.Answered():
                     answers[c.kind] += 1
                     if c.kind == "served" and c.right:
-                        served.add(op_of[c.id])
+                        served.add(op_by_request[c.id])
                 case tp.Left():
                     answers["left"] += 1
                 case tp.Lost():
@@ -54,7 +54,7 @@
                 case tp.Moved():
                     stages.append(
                         {
-                            "at_s": round(c.at - begin, 2),
+                            "at_s": round(c.at - started_at, 2),
                             "build": c.build,
                             "stage": c.stage,
                             "phase": c.phase,
@@ -62,7 +62,7 @@
                         }
                     )
         return {
-            "requests": len(op_of),
+            "requests": len(op_by_request),
             "operations": len(ops),
             "operations_served": len(served),
             "answers": dict(sorted(answers.items())),
@@ -80,34 +80,34 @@
     day: Day,
     service: Service,
     seed: int,
-    hosts: Callable[[AgentPlacement], AgentHost],
-    say: Callable[[str], None] = lambda text: None,
+    make_host: Callable[[AgentPlacement], AgentHost],
+    log: Callable[[str], None] = lambda text: None,
     tolerance_s: float = 0.25,
 ) -> Result:
-    """Play a day with agents from `hosts`; the auditor has judged when this returns.
+    """Play a day with agents from `make_host`; the result contains the auditor's report.
 
-    `tolerance_s` is how far the observer's times may be off: little where time is simulated.
+    `tolerance_s` is the error of recorded times that the auditor allows: small on simulated time.
     """
     latency: dict[str, HdrHistogram] = {}
 
-    def note(cls: str, seconds: float) -> None:
+    def record(cls: str, seconds: float) -> None:
         histogram = latency.setdefault(cls, HdrHistogram(1, 60_000_000, 3))
         histogram.record_value(max(1, int(seconds * 1e6)))
 
-    world = World(day, service, seed, hosts, say)
-    world.latencies = note
+    world = World(day, service, seed, make_host, log)
+    world.record_latency = record
     await world.run()
     return Result(world.tape, Auditor(world.tape, service, tolerance_s).judge(), latency)
 
 
-def in_process_agents(service: Service, **changes: Any) -> Callable[[AgentPlacement], AgentHost]:
-    """Agents in this process."""
+def in_process_agents(service: Service, **overrides: Any) -> Callable[[AgentPlacement], AgentHost]:
+    """A factory of agents in this process."""
     key = secrets.token_bytes(32)
-    return lambda place: Inside(service, place, key, **changes)
+    return lambda place: InProcessAgent(service, place, key, **overrides)
 
 
 def process_agents(settings: Path, folder: Path) -> Callable[[AgentPlacement], AgentHost]:
-    """Agents in processes of their own; logs, caches and the peer key go to `folder`."""
+    """A factory of agents in separate processes; their logs, caches and peer key are in `folder`."""
     key_file = folder / "peer.key"
     key_file.write_text(secrets.token_hex(32))
     key_file.chmod(0o600)
@@ -120,13 +120,13 @@
     settings: Path,
     seed: int,
     folder: Path | None,
-    say: Callable[[str], None] = lambda text: None,
+    log: Callable[[str], None] = lambda text: None,
 ) -> Result:
-    """Play a day with one process an agent, as users run them."""
+    """Play a day with one process per agent, as users run them."""
     with tempfile.TemporaryDirectory(prefix="otterquay-") as scratch:
-        where = folder or Path(scratch)
-        where.mkdir(parents=True, exist_ok=True)
-        result = await play(day, service, seed, process_agents(settings, where), say)
+        output = folder or Path(scratch)
+        output.mkdir(parents=True, exist_ok=True)
+        result = await play(day, service, seed, process_agents(settings, output), log)
         if folder:
             (folder / "tape.jsonl").write_bytes(result.tape.dump())
             lines = [f"{rule}: {text}" for rule, texts in result.report.violations.items() for text in texts]
--- a/otterquay/lab/runtimes.py
+++ b/otterquay/lab/runtimes.py
@@ -1,7 +1,8 @@
-"""Run times on drawn fleets with a hidden truth: held-out kinds, liars, time-outs, slow builds, baselines.
+"""Evaluates the run-time model on random fleets with known true run times, against simple baselines.
 
-The truth is not the model's: families differ by a drawn factor, kinds by their clock to a drawn power and a rest of
-their own, classes react differently to each kind, and single times have a heavy tail.
+Fleets have held-out machine kinds, agents that report false data, timeouts and slow builds. The true run times do
+not follow the model: families differ by a random factor, kinds by a random power of their clock and an effect of
+their own, each class reacts differently to each kind, and single times have a heavy tail.
 """
 
 from __future__ import annotations
@@ -19,17 +20,17 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """A drawn fleet: `truth` is the log of the median by class and kind; `held` are kinds that nobody has seen."""
+    """A random fleet; `truth` is the log median by class and kind, `held_out` lists kinds without measurements."""
 
     machines: dict[str, Machine]
     truth: dict[tuple[str, str], float]
     family_of: dict[str, str]
     family: dict[str, float]
     base: dict[str, float]
-    held: list[str]
+    held_out: list[str]
     seen: list[str]
     rows: Rows = field(default_factory=Rows)
-    order: list[str] = field(default_factory=list)  # kinds as they were first seen
+    order: list[str] = field(default_factory=list)  # kinds in the order in which they were first seen
 
 
 def draw_fleet(
@@ -39,11 +40,15 @@
     cut_at: float | None = None,
     trial: float | None = None,
 ) -> Fleet:
-    """`cut_at`: attempts are given up at so many medians; `trial`: a slow build's factor, on some servers."""
+    """Generate a random fleet with measurements.
+
+    `liars` is the number of agents that report false rows, `cut_at` a timeout as a multiple of the median, and
+    `trial` the factor by which a build on trial, on some servers, is slower.
+    """
     rng = random.Random(seed)
     families = [f"f{i}" for i in range(rng.randint(3, 5))]
     family = {f: rng.gauss(0, 0.35) for f in families}
-    power = rng.uniform(-1.1, -0.5)
+    clock_exponent = rng.uniform(-1.1, -0.5)
     machines: dict[str, Machine] = {}
     truth: dict[tuple[str, str], float] = {}
     family_of: dict[str, str] = {}
@@ -51,36 +56,38 @@
     for f in families:
         for i in range(rng.randint(3, 5)):
             kind, clock = f"{f}-{i}", rng.uniform(1.8, 4.2)
-            own = rng.gauss(0, 0.10)
+            kind_effect = rng.gauss(0, 0.10)
             machines[kind] = Machine(f, (float(rng.choice([2, 4, 8])), clock, float(rng.choice([8, 16, 32]))))
             family_of[kind] = f
             for cls, mean in base.items():
-                truth[cls, kind] = mean + family[f] + power * math.log(clock / 3) + own + rng.gauss(0, 0.06)
+                truth[cls, kind] = (
+                    mean + family[f] + clock_exponent * math.log(clock / 3) + kind_effect + rng.gauss(0, 0.06)
+                )
     kinds = sorted(machines)
-    held = rng.sample(kinds, max(len(kinds) // 4, 2))
-    seen = [k for k in kinds if k not in held]
-    fleet = Fleet(machines, truth, family_of, family, base, held, seen)
+    held_out = rng.sample(kinds, max(len(kinds) // 4, 2))
+    seen = [k for k in kinds if k not in held_out]
+    fleet = Fleet(machines, truth, family_of, family, base, held_out, seen)
     server = 0
     for kind in rng.sample(seen, len(seen)):
         fleet.order.append(kind)
         for _ in range(rng.randint(1, 4)):
             server += 1
-            off = rng.gauss(0, 0.04)
-            slow = trial is not None and rng.random() < 0.3
+            server_effect = rng.gauss(0, 0.04)
+            on_trial = trial is not None and rng.random() < 0.3
             for agent in range(agents):
                 for cls in base:
-                    key = Key(agent, 1, 0, cls, kind, server, 2 if slow else 1)
+                    key = Key(agent, 1, 0, cls, kind, server, 2 if on_trial else 1)
                     for _ in range(rng.randint(2, 8)):
                         tail = rng.expovariate(1.5) if rng.random() < 0.05 else 0.0
-                        y = truth[cls, kind] + off + rng.gauss(0, 0.35) + tail
-                        y += math.log(trial) if slow and trial else 0.0
-                        late = cut_at is not None and y > truth[cls, kind] + math.log(cut_at)
+                        log_time = truth[cls, kind] + server_effect + rng.gauss(0, 0.35) + tail
+                        log_time += math.log(trial) if on_trial and trial else 0.0
+                        late = cut_at is not None and log_time > truth[cls, kind] + math.log(cut_at)
                         if late and cut_at is not None:
-                            y = truth[cls, kind] + math.log(cut_at)
-                        fleet.rows.note(key, math.exp(y), alone=True, late=late)
-                    if rng.random() < 0.5:  # queued: at most so long
-                        waited = truth[cls, kind] + rng.uniform(0.5, 2)
-                        fleet.rows.note(key, math.exp(waited), alone=False, late=False)
+                            log_time = truth[cls, kind] + math.log(cut_at)
+                        fleet.rows.note(key, math.exp(log_time), alone=True, late=late)
+                    if rng.random() < 0.5:  # queued behind others: only an upper bound
+                        upper_bound = truth[cls, kind] + rng.uniform(0.5, 2)
+                        fleet.rows.note(key, math.exp(upper_bound), alone=False, late=False)
     for agent in range(agents - liars, agents):
         for key, row in list(fleet.rows.rows.items()):
             if key.agent == agent:
@@ -89,18 +96,18 @@
 
 
 def estimates(fleet: Fleet) -> dict[tuple[str, str], tuple[float, float, float]]:
-    """Log median, low and high by class and kind, where known."""
+    """The model's log median and interval bounds by class and kind, where known."""
     model, _ = fit(list(fleet.rows.rows.items()), fleet.machines, 0)
     found = {}
     for cls, kind in fleet.truth:
-        one = model.estimate(cls, kind)
-        if one.known:
-            found[cls, kind] = (math.log(one.median), math.log(one.low), math.log(one.high))
+        estimate = model.estimate(cls, kind)
+        if estimate.known:
+            found[cls, kind] = (math.log(estimate.median), math.log(estimate.low), math.log(estimate.high))
     return found
 
 
 def baselines(fleet: Fleet) -> dict[str, Callable[[str, str], float]]:
-    """What an operator would take: the class's mean, the nearest kind by clock, the kind seen last, an oracle."""
+    """Simple predictors: class mean, nearest kind by clock, kind seen last, oracle that knows the families."""
 
     def seen(cls: str, kind: str) -> float:
         return fleet.truth[cls, kind]
@@ -116,43 +123,43 @@
         return seen(cls, fleet.order[-1])
 
     def oracle(cls: str, kind: str) -> float:
-        alike = [k for k in fleet.seen if fleet.family_of[k] == fleet.family_of[kind]]
-        return sum(seen(cls, k) for k in alike) / len(alike) if alike else mean(cls, kind)
+        same_family = [k for k in fleet.seen if fleet.family_of[k] == fleet.family_of[kind]]
+        return sum(seen(cls, k) for k in same_family) / len(same_family) if same_family else mean(cls, kind)
 
     return {"class mean": mean, "nearest kind": nearest, "last seen": last, "true family's mean": oracle}
 
 
 @dataclass(slots=True)
 class Score:
-    """Mean error of the log median on held-out kinds by method, and how often the 90% interval holds."""
+    """Mean error of the log median on held-out kinds by method, and coverage of the 90% interval."""
 
     errors: dict[str, float]
     interval_coverage: float
-    inside_seen: float
+    coverage_seen: float
     answers: int
     unknown: int
 
 
-def score(seeds: range, **how: float) -> Score:
-    """Over drawn fleets."""
+def score(seeds: range, **options: float) -> Score:
+    """Score the model and the baselines over random fleets."""
     errors: dict[str, list[float]] = defaultdict(list)
-    inside, inside_seen, unknown = [], [], 0
+    covered, covered_seen, unknown = [], [], 0
     for seed in seeds:
-        fleet = draw_fleet(seed, **how)  # type: ignore[arg-type]
-        told = estimates(fleet)
+        fleet = draw_fleet(seed, **options)  # type: ignore[arg-type]
+        estimated = estimates(fleet)
         methods = baselines(fleet)
         for (cls, kind), truth in fleet.truth.items():
-            one = told.get((cls, kind))
-            if kind not in fleet.held:
-                if one:
-                    inside_seen.append(one[1] <= truth <= one[2])
+            estimate = estimated.get((cls, kind))
+            if kind not in fleet.held_out:
+                if estimate:
+                    covered_seen.append(estimate[1] <= truth <= estimate[2])
                 continue
-            if one is None:
+            if estimate is None:
                 unknown += 1
                 continue
-            errors["model"].append(abs(one[0] - truth))
-            inside.append(one[1] <= truth <= one[2])
+            errors["model"].append(abs(estimate[0] - truth))
+            covered.append(estimate[1] <= truth <= estimate[2])
             for name, method in methods.items():
                 errors[name].append(abs(method(cls, kind) - truth))
     means = {name: sum(e) / len(e) for name, e in errors.items()}
-    return Score(means, sum(inside) / len(inside), sum(inside_seen) / len(inside_seen), len(inside), unknown)
+    return Score(means, sum(covered) / len(covered), sum(covered_seen) / len(covered_seen), len(covered), unknown)
--- a/otterquay/lab/sim.py
+++ b/otterquay/lab/sim.py
@@ -1,4 +1,4 @@
-"""Days on simulated time: all agents of a day in this process, each on a machine of its own."""
+"""Plays days on simulated time, with each agent on a simulated machine of its own in this process."""
 
 from __future__ import annotations
 
@@ -12,62 +12,62 @@
 
 from otterquay.config.schema import Service
 from otterquay.lab.day import Day
-from otterquay.lab.hosts import AgentHost, AgentPlacement, Inside
+from otterquay.lab.hosts import AgentHost, AgentPlacement, InProcessAgent
 from otterquay.lab.play import Result, play
 from otterquay.lab.simloop import Machine, SimLoop, simulate
 from otterquay.standins.tape import Tape
 
-TOLERANCE_S = 0.005  # the network's delays; the observer sees all else as it happens
+TOLERANCE_S = 0.005  # network delays; the observer sees everything else immediately
 
 
-class SimAgent(Inside):
-    """An agent on a machine of its own, which can be paused and killed as a process can."""
+class SimAgent(InProcessAgent):
+    """An agent on a simulated machine, which can be paused and killed like a process."""
 
     __slots__ = ("machine",)
 
-    def _loop(self) -> SimLoop:
+    def _sim_loop(self) -> SimLoop:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, SimLoop)
         return loop
 
     async def start(self) -> str:
-        """Start; the machine is a new one, the disk what the last left."""
+        """Start on a new machine, with the disk as the previous incarnation left it."""
         self.machine = Machine(f"agent-{self.place.number}", self.place.zone)
-        return await self._loop().run_on(self.machine, Inside.start(self))
+        return await self._sim_loop().run_on(self.machine, InProcessAgent.start(self))
 
     async def kill(self) -> None:
-        """The process ends; what it had not synced is lost, as if the power failed."""
-        self._loop().kill(self.machine)
+        """Kill the machine; unsynced writes are lost, as in a power failure."""
+        self._sim_loop().kill(self.machine)
         self.disk = self.disk.crashed(random.Random(self.place.seed * 1000 + self.starts))
         self.runtime = None
 
     async def stop(self) -> None:
-        """End in good order."""
+        """Stop gracefully."""
         if self.runtime:
             runtime, self.runtime = self.runtime, None
-            await self._loop().run_on(self.machine, runtime.stop())
+            await self._sim_loop().run_on(self.machine, runtime.stop())
 
     def pause(self, on: bool) -> None:
-        """Stand still, or go on."""
-        self._loop().pause(self.machine, on)
+        """Pause or resume the machine."""
+        self._sim_loop().pause(self.machine, on)
 
 
 def simulated(
-    service: Service, seed: int, agent: type[SimAgent] = SimAgent, **changes: Any
+    service: Service, seed: int, agent: type[SimAgent] = SimAgent, **overrides: Any
 ) -> Callable[[AgentPlacement], AgentHost]:
-    """Agents on machines of the simulated loop."""
+    """A factory of agents on simulated machines."""
     key = random.Random(seed).randbytes(32)
-    return lambda place: agent(service, place, key, **changes)
+    return lambda place: agent(service, place, key, **overrides)
 
 
 def digest(tape: Tape) -> str:
-    """The whole trace in one number: the same for every run of a seed."""
+    """A hash of the whole tape, the same for every run of a seed."""
     return xxhash.xxh3_128_hexdigest(tape.dump())
 
 
 @dataclass(slots=True)
 class Simulated:
-    """A day that was simulated."""
+    """The result of a simulated day."""
 
     result: Result
     digest: str
@@ -90,10 +90,10 @@
     day: Day,
     service: Service,
     seed: int,
-    hosts: Callable[[AgentPlacement], AgentHost] | None = None,
-    say: Callable[[str], None] = lambda text: None,
+    make_host: Callable[[AgentPlacement], AgentHost] | None = None,
+    log: Callable[[str], None] = lambda text: None,
 ) -> Simulated:
-    """Play a day; the same seed gives the same digest. Stuck, Outside: see `simloop.simulate`."""
-    work = play(day, service, seed, hosts or simulated(service, seed), say, TOLERANCE_S)
+    """Play a day; the same seed gives the same digest. Raises as `simloop.simulate`."""
+    work = play(day, service, seed, make_host or simulated(service, seed), log, TOLERANCE_S)
     result, loop = simulate(work, seed)
-    return Simulated(result, digest(result.tape), loop.now - loop.begin, loop.turns, loop.program_errors)
+    return Simulated(result, digest(result.tape), loop.now - loop.started_at, loop.turns, loop.program_errors)
--- a/otterquay/lab/simloop.py
+++ b/otterquay/lab/simloop.py
@@ -1,9 +1,9 @@
-"""An event loop on simulated time with a network in memory: unchanged program code, by the hundred agents.
+"""An asyncio event loop on simulated time with an in-memory network, for hundreds of agents with unchanged code.
 
-Time moves only when nothing is ready, and then to the next timer; code takes no time. One seed gives one run.
-Streams keep what the transports of asyncio promise (order, half-close, reset, flow control); datagrams may be lost
-and overtake each other. Which machine code belongs to is told by its context: what a machine starts is its own,
-stands still while it is paused, and never runs again once it is killed.
+Time advances only when no callback is ready, and then to the next timer; running code takes no simulated time. A
+run is reproducible from its seed. Streams keep the guarantees of asyncio transports (order, half-close, reset, flow
+control); datagrams may be lost or reordered. The context of a callback names the machine that it belongs to: tasks
+inherit the machine of their creator, do not run while it is paused, and never run again once it is killed.
 """
 
 from __future__ import annotations
@@ -21,53 +21,55 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-WINDOW = 131_072  # bytes that a connection takes before its writer sees them waiting: both kernels' buffers
-STILL_MOST = 200_000  # turns without time moving after which a run counts as one that does not end
+SOCKET_BUFFER_BYTES = 131_072  # kernel buffers of both ends: bytes accepted before the writer's own buffer fills
+MAX_TURNS_AT_ONE_TIME = 200_000  # turns of the loop without an advance of time, after which a run is aborted
 
 
 class NoProgressError(RuntimeError):
-    """Nothing is left that could happen, or time does not move."""
+    """The run cannot finish: no callback is scheduled, or time does not advance."""
 
 
 class RealIOError(RuntimeError):
-    """Code under simulation reached for a real socket or file."""
+    """Simulated code tried to use a real socket, file, process or thread."""
 
 
 @dataclass(eq=False, slots=True)
 class Machine:
-    """Where code runs; `zone` decides on the network between machines."""
+    """A simulated host; `zone` determines the network conditions between machines."""
 
     name: str
     zone: str = ""
     paused: bool = False
     dead: bool = False
     backlog: deque[asyncio.Handle] = field(default_factory=deque)
-    transports: dict[_Stream, None] = field(default_factory=dict)
+    transports: dict[_StreamTransport, None] = field(default_factory=dict)
     servers: dict[SimServer, None] = field(default_factory=dict)
-    sockets: dict[_Datagrams, None] = field(default_factory=dict)
+    sockets: dict[_DatagramTransport, None] = field(default_factory=dict)
 
 
-HOME = Machine("world")
-MACHINE: contextvars.ContextVar[Machine] = contextvars.ContextVar("machine", default=HOME)
+DEFAULT_MACHINE = Machine("world")
+CURRENT_MACHINE: contextvars.ContextVar[Machine] = contextvars.ContextVar("machine", default=DEFAULT_MACHINE)
 
 
 @dataclass(slots=True)
 class Network:
-    """What the wires between two zones do; set at any time. Seconds and shares."""
+    """Conditions of the network; may be changed at any time."""
 
     delay_s: float = 50e-6
     jitter_s: float = 0.0
-    loss: float = 0.0  # of datagrams
+    loss: float = 0.0  # share of datagrams
     bytes_per_s: float = 1.25e9
-    cuts: dict[tuple[str, str], None] = field(default_factory=dict)  # from zone, to zone: nothing crosses
+    cuts: dict[tuple[str, str], None] = field(
+        default_factory=dict
+    )  # source and target zone of links that drop everything
 
-    def cut(self, source: str, target: str) -> bool:
-        """Whether nothing crosses from one zone to the other."""
+    def is_cut(self, source: str, target: str) -> bool:
+        """Whether the link from one zone to the other drops everything."""
         return (source, target) in self.cuts
 
 
-def _bury(handle: asyncio.Handle) -> None:
-    """A task that was made in the moment of the kill never begins."""
+def _close_unstarted_task(handle: asyncio.Handle) -> None:
+    """Close the coroutine of a task that was created just before the kill and never started."""
     task = getattr(handle._callback, "__self__", None)  # type: ignore[attr-defined]
     if isinstance(task, asyncio.Task):
         coroutine = task.get_coro()
@@ -76,53 +78,53 @@
 
 
 class _Handle(asyncio.Handle):
-    """A callback of a machine, which may be paused or dead when its turn comes."""
+    """A callback of a machine, deferred if the machine is paused and dropped if it was killed."""
 
     def _run(self) -> None:
-        machine: Machine = self._context.get(MACHINE, HOME)  # type: ignore[attr-defined]
+        machine: Machine = self._context.get(CURRENT_MACHINE, DEFAULT_MACHINE)  # type: ignore[attr-defined]
         if machine.paused:
             machine.backlog.append(self)
         elif machine.dead:
-            _bury(self)
+            _close_unstarted_task(self)
         else:
             super()._run()
 
 
 class _Timer(_Handle, asyncio.TimerHandle):
-    """The same with a time; of those due at one instant the first that was set comes first."""
+    """A timer of a machine; timers due at the same time run in the order in which they were set."""
 
     number = 0
 
     def __lt__(self, other: object) -> bool:
-        """Order in the heap."""
+        """Order by time, then by number."""
         assert isinstance(other, _Timer)
-        mine, others = self._when, other._when  # type: ignore[attr-defined]
-        return bool(mine < others or (mine == others and self.number < other.number))
+        own_time, other_time = self._when, other._when  # type: ignore[attr-defined]
+        return bool(own_time < other_time or (own_time == other_time and self.number < other.number))
 
 
-class _Idle:
-    """In a selector's place: waiting moves time."""
+class _SimSelector:
+    """Replaces the selector of the loop: instead of waiting it advances simulated time."""
 
     def __init__(self, loop: SimLoop) -> None:
-        self._loop, self._still = loop, 0
+        self._loop, self._turns_at_one_time = loop, 0
 
     def select(self, timeout: float | None) -> list[Any]:
-        """Move time to the next timer, unless something is ready."""
+        """Advance time to the next timer, unless a callback is ready."""
         loop = self._loop
         if timeout is None:
-            raise NoProgressError("nothing is left to happen")
+            raise NoProgressError("nothing is left to run")
         scheduled = loop._scheduled  # type: ignore[attr-defined]
         if timeout > 0 and scheduled:
             loop.now = max(loop.now, scheduled[0]._when)
-            self._still = 0
+            self._turns_at_one_time = 0
         else:
-            self._still += 1
-            if self._still > STILL_MOST:
+            self._turns_at_one_time += 1
+            if self._turns_at_one_time > MAX_TURNS_AT_ONE_TIME:
                 ready = [
                     repr(getattr(handle._callback, "__self__", handle))[:300]
                     for handle in list(loop._ready)[:3]  # type: ignore[attr-defined]
                 ]
-                raise NoProgressError(f"time does not move beyond {loop.now}: {ready}")
+                raise NoProgressError(f"time does not advance beyond {loop.now}: {ready}")
         loop.turns += 1
         return []
 
@@ -130,54 +132,54 @@
         """Nothing to close."""
 
 
-class _Name:
-    """A listener's socket as far as programs look at it."""
+class _ListenerSocket:
+    """The part of a listening socket's interface that programs use."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
 
     def getsockname(self) -> tuple[str, int]:
-        """Host and port."""
+        """Host and port of the listener."""
         return self._address
 
 
 class SimServer(asyncio.AbstractServer):
-    """A listener."""
+    """A listener on the simulated network."""
 
     def __init__(self, loop: SimLoop, factory: Callable[[], Any], address: tuple[str, int]) -> None:
         self.loop, self.factory, self.address = loop, factory, address
         self.context = contextvars.copy_context()
-        self.machine = MACHINE.get()
+        self.machine = CURRENT_MACHINE.get()
         self.machine.servers[self] = None
-        self.sockets: tuple[_Name, ...] = (_Name(address),)
+        self.sockets: tuple[_ListenerSocket, ...] = (_ListenerSocket(address),)
 
     def close(self) -> None:
-        """Listen no more; connections stay."""
+        """Stop listening; established connections stay open."""
         self.loop.listeners.pop(self.address, None)
         self.machine.servers.pop(self, None)
         self.sockets = ()
 
     def is_serving(self) -> bool:
-        """Whether it listens."""
+        """Whether the listener accepts connections."""
         return bool(self.sockets)
 
     async def wait_closed(self) -> None:
-        """Done at once."""
+        """Return at once: closing takes no time."""
 
     async def start_serving(self) -> None:
-        """It does from the start."""
+        """Do nothing: the listener serves from its creation."""
 
     async def serve_forever(self) -> None:
-        """Not for program code, which closes what it opens."""
+        """Not supported."""
         raise NotImplementedError
 
     def get_loop(self) -> SimLoop:
-        """Its loop."""
+        """The loop of the listener."""
         return self.loop
 
 
-class _Stream(asyncio.Transport):
-    """One end of a connection."""
+class _StreamTransport(asyncio.Transport):
+    """One end of a simulated connection."""
 
     def __init__(
         self,
@@ -189,118 +191,120 @@
     ) -> None:
         super().__init__({"peername": peer, "sockname": own})
         self.loop, self.protocol, self.context = loop, protocol, context
-        self.machine: Machine = context.get(MACHINE, HOME)
+        self.machine: Machine = context.get(CURRENT_MACHINE, DEFAULT_MACHINE)
         self.machine.transports[self] = None
-        self.other: _Stream
-        self.arrives = 0.0  # when the last that was sent gets there
-        self.unread = 0  # bytes sent that the other end's protocol has not got
-        self.inbox: deque[bytes | None] = deque()  # arrived while reading is paused; None is the end
-        self.reading, self.eof_sent, self.closing, self.lost, self.stopped = True, False, False, False, False
-        self.high, self.low = 65536, 16384
-
-    # --- what programs call ---
+        self.remote: _StreamTransport
+        self.last_arrival_at = 0.0  # arrival time of the last segment sent
+        self.undelivered_bytes = 0  # sent, but not yet passed to the remote protocol
+        self.inbox: deque[bytes | None] = deque()  # arrived while reading was paused; None is the end of the stream
+        self.reading, self.eof_sent, self.closing, self.lost, self.write_paused = True, False, False, False, False
+        self.high_water, self.low_water = 65536, 16384
+
+    # --- transport interface ---
     def write(self, data: Any) -> None:
-        """Send."""
+        """Send data."""
         if self.eof_sent:
             raise RuntimeError("Cannot call write() after write_eof()")
         if self.closing or not data:
             return
-        self.unread += len(data)
-        self._carry(bytes(data))
-        if not self.stopped and self.get_write_buffer_size() > self.high:
-            self.stopped = True
+        self.undelivered_bytes += len(data)
+        self._transmit(bytes(data))
+        if not self.write_paused and self.get_write_buffer_size() > self.high_water:
+            self.write_paused = True
             self.protocol.pause_writing()
 
     def writelines(self, list_of_data: Any) -> None:
-        """Send all."""
+        """Send a list of buffers."""
         self.write(b"".join(list_of_data))
 
     def write_eof(self) -> None:
-        """Send nothing more; reading goes on."""
+        """Close the sending side; reading continues."""
         if not self.eof_sent and not self.closing:
             self.eof_sent = True
-            self._carry(None)
+            self._transmit(None)
 
     def can_write_eof(self) -> bool:
-        """Half-close works."""
+        """Half-close is supported."""
         return True
 
     def get_write_buffer_size(self) -> int:
-        """Bytes beyond what both kernels hold."""
-        return max(0, self.unread - WINDOW)
+        """Bytes that the kernel buffers of both ends do not hold."""
+        return max(0, self.undelivered_bytes - SOCKET_BUFFER_BYTES)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Where the protocol is paused and resumed."""
-        self.high = 65536 if high is None else high
-        self.low = self.high // 4 if low is None else low
+        """Set the limits at which the protocol is paused and resumed."""
+        self.high_water = 65536 if high is None else high
+        self.low_water = self.high_water // 4 if low is None else low
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Low and high."""
-        return self.low, self.high
+        """The low and the high limit."""
+        return self.low_water, self.high_water
 
     def pause_reading(self) -> None:
-        """Let arrivals wait."""
+        """Queue arriving data."""
         self.reading = False
 
     def resume_reading(self) -> None:
-        """Take what waits."""
+        """Deliver queued data and continue reading."""
         if not self.reading:
             self.reading = True
             self.loop.call_soon(self._drain, context=self.context)
 
     def is_reading(self) -> bool:
-        """Whether arrivals are taken."""
+        """Whether arriving data is delivered."""
         return self.reading and not self.closing
 
     def is_closing(self) -> bool:
-        """Whether it was closed or lost."""
+        """Whether the connection was closed or lost."""
         return self.closing
 
     def set_protocol(self, protocol: Any) -> None:
-        """Another protocol from now on."""
+        """Replace the protocol."""
         self.protocol = protocol
 
     def get_protocol(self) -> Any:
-        """The protocol."""
+        """The current protocol."""
         return self.protocol
 
     def close(self) -> None:
-        """Send what was written, then the end; reading stops."""
+        """Send buffered data and the end of the stream; stop reading."""
         if self.closing:
             return
-        self._end()
-        self.loop.call_soon(self._lose, None, context=self.context)
+        self._close_socket()
+        self.loop.call_soon(self._lose_connection, None, context=self.context)
 
     def abort(self) -> None:
-        """Close now. The kernels have taken all that was written, so it differs from a close in nothing."""
+        """Close the connection. Same as `close`, as the kernel already holds all written data."""
         self.close()
 
-    def _end(self) -> None:
-        """The socket is closed: unread bytes reset the connection (RFC 1122, 4.2.2.13), else its end is sent."""
+    def _close_socket(self) -> None:
+        """Close the socket: reset the connection if bytes are unread (RFC 1122, 4.2.2.13), else end the stream."""
         if any(self.inbox):
-            self._tell_reset()
+            self._send_reset()
         elif not self.eof_sent:
             self.write_eof()
         self.closing = True
 
-    # --- the wire ---
-    def _carry(self, data: bytes | None) -> None:
+    # --- transmission ---
+    def _transmit(self, data: bytes | None) -> None:
         loop = self.loop
         size = len(data) if data else 40
-        self.arrives = max(self.arrives, loop.now + loop.delay(self.machine, self.other.machine, size))
+        self.last_arrival_at = max(
+            self.last_arrival_at, loop.now + loop.delay(self.machine, self.remote.machine, size)
+        )
         self._schedule(data)
 
     def _schedule(self, data: bytes | None) -> None:
-        self.loop.call_at(self.arrives, self.other._arrive, data, context=self.other.context)
+        self.loop.call_at(self.last_arrival_at, self.remote._arrive, data, context=self.remote.context)
 
     def _arrive(self, data: bytes | None) -> None:
-        other = self.other
-        if self.loop.network.cut(other.machine.zone, self.machine.zone):
-            other.arrives = max(other.arrives, self.loop.now + 0.2)  # sent again until it gets through
-            return other._schedule(data)
+        remote = self.remote
+        if self.loop.network.is_cut(remote.machine.zone, self.machine.zone):
+            remote.last_arrival_at = max(remote.last_arrival_at, self.loop.now + 0.2)  # retransmission
+            return remote._schedule(data)
         if self.closing:
             if data:
-                self._tell_reset()
+                self._send_reset()
             return
         if not self.reading or self.inbox:
             self.inbox.append(data)
@@ -316,26 +320,26 @@
             if not self.protocol.eof_received():
                 self.close()
             return
-        self.other._taken(len(data))
+        self.remote._acknowledge(len(data))
         self.protocol.data_received(data)
 
-    def _taken(self, size: int) -> None:
-        self.unread -= size
-        if self.stopped and self.get_write_buffer_size() <= self.low:
-            self.stopped = False
+    def _acknowledge(self, size: int) -> None:
+        self.undelivered_bytes -= size
+        if self.write_paused and self.get_write_buffer_size() <= self.low_water:
+            self.write_paused = False
             self.loop.call_soon(self.protocol.resume_writing, context=self.context)
 
-    def _tell_reset(self) -> None:
-        other, loop = self.other, self.loop
-        at = loop.now + loop.delay(self.machine, other.machine, 40)
-        loop.call_at(at, other._reset, context=other.context)
+    def _send_reset(self) -> None:
+        remote, loop = self.remote, self.loop
+        at = loop.now + loop.delay(self.machine, remote.machine, 40)
+        loop.call_at(at, remote._reset, context=remote.context)
 
     def _reset(self) -> None:
         if not self.closing:
             self.closing = True
-            self._lose(ConnectionResetError("connection reset by peer"))
+            self._lose_connection(ConnectionResetError("connection reset by peer"))
 
-    def _lose(self, error: Exception | None) -> None:
+    def _lose_connection(self, error: Exception | None) -> None:
         if not self.lost:
             self.lost = True
             self.inbox.clear()
@@ -343,23 +347,23 @@
             self.protocol.connection_lost(error)
 
 
-class _Datagrams(asyncio.DatagramTransport):
-    """A datagram socket."""
+class _DatagramTransport(asyncio.DatagramTransport):
+    """A simulated datagram socket."""
 
     def __init__(self, loop: SimLoop, protocol: Any, own: tuple[str, int], peer: tuple[str, int] | None) -> None:
         super().__init__({"sockname": own, "peername": peer})
         self.loop, self.protocol, self.own, self.peer = loop, protocol, own, peer
-        self.context, self.machine, self.closed = contextvars.copy_context(), MACHINE.get(), False
+        self.context, self.machine, self.closed = contextvars.copy_context(), CURRENT_MACHINE.get(), False
         self.machine.sockets[self] = None
 
     def sendto(self, data: Any, addr: Any = None) -> None:
-        """Send; nobody learns what became of it."""
+        """Send a datagram; a loss is not reported."""
         to = addr or self.peer
         assert to is not None
         loop, target = self.loop, self.loop.datagrams.get((str(to[0]), int(to[1])))
         if self.closed or target is None or loop.rng.random() < loop.network.loss:
             return
-        if not loop.network.cut(self.machine.zone, target.machine.zone):
+        if not loop.network.is_cut(self.machine.zone, target.machine.zone):
             at = loop.now + loop.delay(self.machine, target.machine, len(data))
             loop.call_at(at, target._arrive, bytes(data), self.own, context=target.context)
 
@@ -368,11 +372,11 @@
             self.protocol.datagram_received(data, source)
 
     def is_closing(self) -> bool:
-        """Whether it was closed."""
+        """Whether the socket was closed."""
         return self.closed
 
     def close(self) -> None:
-        """Take nothing more."""
+        """Close the socket; later datagrams to it are dropped."""
         if not self.closed:
             self.closed = True
             self.loop.datagrams.pop(self.own, None)
@@ -383,29 +387,29 @@
 
 
 class SimLoop(asyncio.BaseEventLoop):
-    """The loop; `now` in seconds."""
+    """The simulated event loop; `now` is the simulated time in seconds."""
 
     def __init__(self, seed: int, network: Network | None = None) -> None:
         super().__init__()
         self.rng, self.network = random.Random(seed), network or Network()
-        self.begin = self.now = 1000.0
-        self.turns = self._timers = 0
-        self._selector = _Idle(self)
+        self.started_at = self.now = 1000.0
+        self.turns = self._timer_count = 0
+        self._selector = _SimSelector(self)
         self._clock_resolution = 1e-9
         self.listeners: dict[tuple[str, int], SimServer] = {}
-        self.datagrams: dict[tuple[str, int], _Datagrams] = {}
-        self._port = 20000
+        self.datagrams: dict[tuple[str, int], _DatagramTransport] = {}
+        self._last_port = 20000
         self.program_errors: list[str] = []
-        self.set_exception_handler(self._note_fault)
+        self.set_exception_handler(self._record_error)
 
-    def _note_fault(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _record_error(self, _: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        if "was destroyed but it is pending" not in context["message"]:  # of machines that were killed
+        if "was destroyed but it is pending" not in context["message"]:  # expected for tasks of killed machines
             self.program_errors.append(f"{self.now:.3f}: {context['message']}: {error!r}")
 
-    # --- what BaseEventLoop asks of a loop ---
+    # --- hooks of BaseEventLoop ---
     def time(self) -> float:
-        """Simulated seconds."""
+        """The simulated time in seconds."""
         return self.now
 
     def _process_events(self, event_list: list[Any]) -> None: ...
@@ -420,16 +424,16 @@
     def call_soon(  # type: ignore[override]
         self, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.Handle:
-        """As asyncio's; the context tells the machine."""
+        """Schedule a callback on the machine of its context."""
         return self._call_soon(callback, args, context)
 
     def call_at(  # type: ignore[override]
         self, when: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        """As asyncio's."""
+        """Schedule a callback at a simulated time."""
         timer = _Timer(when, callback, args, self, context)
-        self._timers += 1
-        timer.number = self._timers
+        self._timer_count += 1
+        timer.number = self._timer_count
         heapq.heappush(self._scheduled, timer)  # type: ignore[attr-defined]
         timer._scheduled = True  # type: ignore[attr-defined]
         return timer
@@ -437,19 +441,19 @@
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Any, *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        """As asyncio's."""
+        """Schedule a callback after a simulated delay."""
         return self.call_at(self.now + delay, callback, *args, context=context)
 
     # --- machines ---
     def pause(self, machine: Machine, on: bool) -> None:
-        """Stand still: what falls due waits, connections and what arrives stay."""
+        """Pause or resume a machine. While paused its callbacks are deferred, its connections and data are kept."""
         machine.paused = on
         if not on:
             backlog, machine.backlog = machine.backlog, deque()
             self._ready.extend(backlog)  # type: ignore[attr-defined]
 
     def kill(self, machine: Machine, silent: bool = False) -> None:
-        """End a machine's process. With `silent` its peers hear nothing, as when the power fails."""
+        """Kill a machine's process. With `silent` its peers are not notified, as in a power failure."""
         machine.dead = True
         machine.backlog.clear()
         for server in list(machine.servers):
@@ -458,26 +462,26 @@
             self.datagrams.pop(socket.own, None)
         for transport in list(machine.transports):
             if not silent and not transport.closing:
-                transport._end()
+                transport._close_socket()
             transport.closing = True
 
     async def run_on(self, machine: Machine, work: Coroutine[Any, Any, T]) -> T:
-        """Run on a machine; what it starts belongs there."""
+        """Run a coroutine on a machine, to which all tasks that it starts belong, too."""
         context = contextvars.copy_context()
-        context.run(MACHINE.set, machine)
+        context.run(CURRENT_MACHINE.set, machine)
         return await self.create_task(work, context=context)
 
     # --- network ---
     def delay(self, source: Machine, target: Machine, size: int) -> float:
-        """Seconds on the way."""
+        """Network delay in seconds for a message of `size` bytes."""
         network = self.network
         jitter = self.rng.random() * network.jitter_s if network.jitter_s else 0.0
         return network.delay_s + jitter + size / network.bytes_per_s
 
-    def port(self) -> int:
-        """A port that nobody has."""
-        self._port += 1
-        return self._port
+    def allocate_port(self) -> int:
+        """Return an unused port."""
+        self._last_port += 1
+        return self._last_port
 
     async def create_server(  # type: ignore[override]
         self,
@@ -486,8 +490,8 @@
         port: Any = None,
         **_: Any,
     ) -> SimServer:
-        """Listen; OSError when the address is taken."""
-        address = str(host), int(port or 0) or self.port()
+        """Create a listener; raises OSError when the address is in use."""
+        address = str(host), int(port or 0) or self.allocate_port()
         if address in self.listeners:
             raise OSError(98, f"address {address} is in use")
         self.listeners[address] = SimServer(self, protocol_factory, address)
@@ -495,28 +499,28 @@
 
     async def create_connection(
         self, protocol_factory: Any, host: Any = None, port: Any = None, **_: Any
-    ) -> tuple[_Stream, Any]:
-        """Connect; ConnectionRefusedError where nobody listens. Over a cut it waits until that heals."""
-        source, address = MACHINE.get(), (str(host), int(port))
+    ) -> tuple[_StreamTransport, Any]:
+        """Connect, or raise ConnectionRefusedError if nobody listens. While the link is cut it retries."""
+        source, address = CURRENT_MACHINE.get(), (str(host), int(port))
         while True:
             server = self.listeners.get(address)
-            target = server.machine if server else HOME
+            target = server.machine if server else DEFAULT_MACHINE
             out = self.delay(source, target, 40)
             there_and_back = out + self.delay(target, source, 40)
             await asyncio.sleep(there_and_back)
-            cut = self.network.cut(source.zone, target.zone) or self.network.cut(target.zone, source.zone)
+            cut = self.network.is_cut(source.zone, target.zone) or self.network.is_cut(target.zone, source.zone)
             server = self.listeners.get(address)
             if cut:
-                await asyncio.sleep(1.0)  # sent again (RFC 6298, 2.1)
+                await asyncio.sleep(1.0)  # initial retransmission timeout (RFC 6298, 2.1)
             elif server is None:
                 raise ConnectionRefusedError(111, f"connect to {address} refused")
             else:
                 break
-        own = "127.0.0.1", self.port()
+        own = "127.0.0.1", self.allocate_port()
         near_protocol = protocol_factory()
-        near = _Stream(self, near_protocol, contextvars.copy_context(), own, address)
-        far = _Stream(self, None, server.context, address, own)
-        near.other, far.other = far, near
+        near = _StreamTransport(self, near_protocol, contextvars.copy_context(), own, address)
+        far = _StreamTransport(self, None, server.context, address, own)
+        near.remote, far.remote = far, near
 
         def accept() -> None:
             far.protocol = server.factory()
@@ -528,37 +532,42 @@
 
     async def create_datagram_endpoint(
         self, protocol_factory: Any, local_addr: Any = None, remote_addr: Any = None, **_: Any
-    ) -> tuple[_Datagrams, Any]:
-        """A datagram socket; OSError when the address is taken."""
-        own = (str(local_addr[0]), int(local_addr[1]) or self.port()) if local_addr else ("127.0.0.1", self.port())
+    ) -> tuple[_DatagramTransport, Any]:
+        """Create a datagram socket; raises OSError when the address is in use."""
+        own = (
+            (str(local_addr[0]), int(local_addr[1]) or self.allocate_port())
+            if local_addr
+            else ("127.0.0.1", self.allocate_port())
+        )
         if own in self.datagrams:
             raise OSError(98, f"address {own} is in use")
         protocol = protocol_factory()
-        self.datagrams[own] = _Datagrams(self, protocol, own, remote_addr)
+        self.datagrams[own] = _DatagramTransport(self, protocol, own, remote_addr)
         protocol.connection_made(self.datagrams[own])
         return self.datagrams[own], protocol
 
 
-_guarded, _hooked = 0, False
+_active_simulations = 0
+_audit_hook_installed = False
 
 
-def _audit(event: str, args: tuple[Any, ...]) -> None:
-    if not _guarded:
+def _forbid_real_io(event: str, args: tuple[Any, ...]) -> None:
+    if not _active_simulations:
         return
     if event.startswith("socket.") and event not in ("socket.gethostname",):
-        raise RealIOError(f"{event} under simulation")
+        raise RealIOError(f"{event} is not allowed in a simulation")
     if event == "open" and isinstance(args[1], str) and set(args[1]) & set("wax+"):
-        raise RealIOError(f"{args[0]!r} opened to write under simulation")
+        raise RealIOError(f"{args[0]!r} opened for writing in a simulation")
     if event in ("subprocess.Popen", "os.fork", "os.posix_spawn", "_thread.start_new_thread"):
-        raise RealIOError(f"{event} under simulation")
+        raise RealIOError(f"{event} is not allowed in a simulation")
 
 
-def _sweep(loop: SimLoop) -> None:
-    """Close what killed machines left unfinished now, not whenever the collector comes to it."""
+def _close_pending_tasks(loop: SimLoop) -> None:
+    """Close unfinished tasks of killed machines now: garbage collection would close them at an arbitrary time."""
     asyncio._set_running_loop(loop)
     try:
         seen = set[asyncio.Task[Any]]()
-        while tasks := asyncio.all_tasks(loop) - seen:  # what ends may begin something
+        while tasks := asyncio.all_tasks(loop) - seen:  # closing a task may start others
             for task in tasks:
                 task._log_destroy_pending = False  # type: ignore[attr-defined]
                 with contextlib.suppress(Exception):
@@ -569,18 +578,21 @@
 
 
 def simulate(work: Coroutine[Any, Any, T], seed: int, network: Network | None = None) -> tuple[T, SimLoop]:
-    """Run on simulated time until `work` is done. Stuck: it never would be. Outside: real I/O was tried."""
-    global _guarded, _hooked
+    """Run on simulated time until `work` is done.
+
+    Raises NoProgressError if it can never finish, and RealIOError if it tries real I/O.
+    """
+    global _active_simulations, _audit_hook_installed
     loop = SimLoop(seed, network)
-    if not _hooked:
-        sys.addaudithook(_audit)  # stays for good: Python has no way to remove one
-        _hooked = True
-    _guarded += 1
+    if not _audit_hook_installed:
+        sys.addaudithook(_forbid_real_io)  # stays installed: Python cannot remove audit hooks
+        _audit_hook_installed = True
+    _active_simulations += 1
     try:
         asyncio.set_event_loop(loop)
         return loop.run_until_complete(work), loop
     finally:
-        _guarded -= 1
+        _active_simulations -= 1
         asyncio.set_event_loop(None)
-        _sweep(loop)
+        _close_pending_tasks(loop)
         loop.close()
--- a/otterquay/lab/world.py
+++ b/otterquay/lab/world.py
@@ -1,4 +1,4 @@
-"""A world of stand-ins around the agents of one run, and the faults of its day."""
+"""The stand-ins around the agents of one run, and the faults of its day."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 @dataclass(slots=True, eq=False)
 class World:
-    """Everything but the agents' code. `hosts` makes the agent for a place."""
+    """Everything except the agents' code; `make_host` creates the agent for a placement."""
 
     day: Day
     service: Service
     seed: int
-    hosts: Callable[[AgentPlacement], AgentHost]
+    make_host: Callable[[AgentPlacement], AgentHost]
     log: Callable[[str], None] = lambda text: None
     tape: Tape = field(default_factory=Tape)
-    latencies: Callable[[str, float], None] = lambda cls, seconds: None
+    record_latency: Callable[[str, float], None] = lambda cls, seconds: None
     fleet: Fleet = field(init=False)
     desk: Desk = field(init=False)
     clients: Clients = field(init=False)
@@ -41,16 +41,17 @@
     relays: list[Link] = field(default_factory=list)
     chat: dict[str, str] = field(default_factory=dict)
     burst: float = 1.0
-    _settings: dict[tuple[int, str], list[tuple[object, object]]] = field(default_factory=dict)
-    _standing: dict[int, tuple[int, float]] = field(default_factory=dict)  # how many pauses hold, and since when
+    _overrides: dict[tuple[int, str], list[tuple[object, object]]] = field(default_factory=dict)
+    # by agent: number of overlapping pauses, and start of the first
+    _pauses: dict[int, tuple[int, float]] = field(default_factory=dict)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
     _claims: list[PortClaim] = field(default_factory=list)
 
     def _now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def _watch(self) -> None:
-        """Notes when this loop stands still, as every time on the tape is then in doubt."""
+    async def _watch_stalls(self) -> None:
+        """Record stalls of this event loop: the times of all events on the tape may then be late."""
         while True:
             due = self._now() + HEARTBEAT_S
             await asyncio.sleep(HEARTBEAT_S)
@@ -58,8 +59,8 @@
                 self.tape.add(Stalled(self._now(), late))
 
     async def run(self) -> None:
-        """The whole day."""
-        watch = asyncio.get_running_loop().create_task(self._watch())
+        """Play the whole day."""
+        watcher = asyncio.get_running_loop().create_task(self._watch_stalls())
         try:
             await self._start()
             faults = asyncio.get_running_loop().create_task(self.play())
@@ -69,7 +70,7 @@
                 await task
         finally:
             await self._close()
-            watch.cancel()
+            watcher.cancel()
 
     async def _traffic(self) -> None:
         await self.clients.offer(self._rate, self.day.duration / 1e3)
@@ -78,7 +79,7 @@
         return self.day.traffic.rate * self.burst
 
     async def start_standins(self) -> tuple[str, str]:
-        """Start appliances, fleet list and desk; returns the addresses of the last two."""
+        """Start the appliances, the fleet list and the desk; returns the addresses of list and desk."""
         day, service, rng = self.day, self.service, random.Random(self.seed)
         plan, zones, rules = day.fleet, self.service.zones, self.service.rules
         keyed = [c.repeat_window for c in service.class_.values() if c.effect == "keyed"]
@@ -117,9 +118,9 @@
         return fleet_at, desk_at
 
     def create_clients(self, agents: dict[int, str]) -> Clients:
-        """The day's clients, against agents at these addresses."""
+        """Create the clients of the day, for agents at these addresses."""
         day, service = self.day, self.service
-        habits = [
+        request_mix = [
             Habit(
                 name,
                 service.class_[name].effect,
@@ -135,7 +136,7 @@
         clients = Clients(
             self.tape,
             random.Random(self.seed + 1),
-            habits,
+            request_mix,
             tenants,
             agents,
             day.agents.weights,
@@ -143,7 +144,7 @@
             day.traffic.backoff / 1e3,
             (day.traffic.patience_least, 1.0),
         )
-        clients.latencies = self.latencies
+        clients.latencies = self.record_latency
         return clients
 
     async def _start(self) -> None:
@@ -154,7 +155,7 @@
         ports = self.reserve_ports(count, TCP) if self.service.chat else []
         self.chat = {str(i): f"127.0.0.1:{port}" for i, port in enumerate(ports)}
         for number, zone in enumerate(self.day.agents.zones):
-            feeds = [await self._reach(zone, at) for at in (fleet_at, desk_at)]
+            feeds = [await self._reachable_address(zone, at) for at in (fleet_at, desk_at)]
             place = AgentPlacement(
                 number,
                 count,
@@ -165,19 +166,19 @@
                 peers,
                 self.chat,
             )
-            self.agents.append(self.hosts(place))
+            self.agents.append(self.make_host(place))
         await asyncio.gather(*(self._start_agent(n) for n in range(count)))
         self.clients = self.create_clients(self.running)
         await asyncio.sleep(SETTLE_S)
 
     def reserve_ports(self, count: int, kind: Kind) -> list[int]:
-        """Ports for agents to bind, this day's until its end."""
+        """Reserve ports for agents to bind, until the end of the day."""
         claim = claim_ports(count, kind)
         self._claims.append(claim)
         return claim.ports
 
-    async def _reach(self, zone: str, address: str) -> str:
-        """List and desk stand in the first zone; from the others they are reached through the link to it."""
+    async def _reachable_address(self, zone: str, address: str) -> str:
+        """The address of the list or desk for a zone: both run in the first zone, other zones use a faulty link."""
         home = self.fleet.zones[0]
         if zone == home:
             return address
@@ -205,31 +206,31 @@
             relay.close()
         if hasattr(self, "fleet"):
             self.fleet.close()
-        for claim in self._claims:  # only now: agents bound these ports until they ended
+        for claim in self._claims:  # only now, as agents bind these ports until they end
             claim.release()
 
     # --- builds and faults ---
     async def play(self) -> None:
-        """Builds and faults, each at its time from now."""
+        """Offer builds and inject faults, each at its time from now on."""
         begin = self._now()
         script: list[tuple[float, Callable[[], None]]] = []
         for name, build in self.day.build.items():
-            script.append((build.at, lambda name=name, flaw=build.flaw: self._offer(int(name), flaw)))  # type: ignore[misc]
+            script.append((build.at, lambda name=name, flaw=build.flaw: self._offer_build(int(name), flaw)))  # type: ignore[misc]
         for fault in self.day.fault:
-            script.append((fault.at, lambda fault=fault: self._begin(fault)))  # type: ignore[misc]
+            script.append((fault.at, lambda fault=fault: self._begin_fault(fault)))  # type: ignore[misc]
         for at, act in sorted(script, key=lambda item: item[0]):
             await asyncio.sleep(max(0.0, begin + at / 1e3 - self._now()))
             act()
 
-    def _offer(self, build: int, flaw: str) -> None:
-        self.log(f"build {build} is offered" + (f" (it is bad: {flaw})" if flaw != "none" else ""))
+    def _offer_build(self, build: int, flaw: str) -> None:
+        self.log(f"build {build} is offered" + (f" (faulty: {flaw})" if flaw != "none" else ""))
         self.desk.offer(build)
 
-    def _begin(self, fault: FaultPlan) -> None:
+    def _begin_fault(self, fault: FaultPlan) -> None:
         if fault.kind.endswith("_agent") and not self.agents:
-            return  # a world of stand-ins alone
+            return  # no agents in this run
         lasts = f" for {fault.lasts / 1e3:g} s" if fault.lasts else ""
-        self.log(f"trouble: {fault.kind.replace('_', ' ')}{lasts}")
+        self.log(f"fault: {fault.kind.replace('_', ' ')}{lasts}")
         task = asyncio.get_running_loop().create_task(self._fault(fault))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -243,21 +244,21 @@
         if callable(done):
             done()
 
-    def _set(self, things: Sequence[object], **values: object) -> Callable[[], None]:
-        """Set attributes now; the result takes that back. Of several that overlap the newest counts."""
-        mine = object()
-        for thing in things:
+    def _override(self, targets: Sequence[object], **values: object) -> Callable[[], None]:
+        """Set attributes and return a function that undoes it. Of overlapping overrides the newest applies."""
+        token = object()
+        for target in targets:
             for name, value in values.items():
-                held = self._settings.setdefault((id(thing), name), [(None, getattr(thing, name))])
-                held.append((mine, value))
-                setattr(thing, name, value)
+                stack = self._overrides.setdefault((id(target), name), [(None, getattr(target, name))])
+                stack.append((token, value))
+                setattr(target, name, value)
 
         def undo() -> None:
-            for thing in things:
+            for target in targets:
                 for name in values:
-                    held = self._settings[id(thing), name]
-                    held[:] = [one for one in held if one[0] is not mine]
-                    setattr(thing, name, held[-1][1])
+                    stack = self._overrides[id(target), name]
+                    stack[:] = [one for one in stack if one[0] is not token]
+                    setattr(target, name, stack[-1][1])
 
         return undo
 
@@ -269,31 +270,31 @@
         ready = [a for p in self.fleet.positions if (a := self.fleet.newest(p))]
         return self.fleet.rng.sample(ready, min(fault.count, len(ready)))
 
-    def _sever(self, fault: FaultPlan, lost: bool, **values: object) -> Callable[[], None]:
-        since, home, undo = self._now(), self.fleet.zones[0], self._set(self._links(fault), **values)
-        far = [
+    def _fault_links(self, fault: FaultPlan, lost: bool, **values: object) -> Callable[[], None]:
+        since, home, undo = self._now(), self.fleet.zones[0], self._override(self._links(fault), **values)
+        affected = [
             n for n, zone in enumerate(self.day.agents.zones) if zone != home and {zone, home} == set(fault.zones)
         ]
 
-        def mend() -> None:
+        def repair() -> None:
             undo()
-            # what a slow link holds is passed on piece by piece, each as late
+            # a slow link passes on its backlog piece by piece, each with the full delay
             late = 0.0 if lost else 10 * fault.factor / 1e3
-            self.tape.add(Severed(self._now() + late, far, since, lost, late))
+            self.tape.add(Severed(self._now() + late, affected, since, lost, late))
 
-        return mend
+        return repair
 
     def _zone_cut(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._sever(fault, True, cut=True)
+        return self._fault_links(fault, True, cut=True)
 
     def _one_way(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._sever(fault, True, one_way=True)
+        return self._fault_links(fault, True, one_way=True)
 
     def _link_reset(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._sever(fault, True, reset=True)
+        return self._fault_links(fault, True, reset=True)
 
     def _link_slow(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._sever(fault, False, delay_s=fault.factor / 1e3)
+        return self._fault_links(fault, False, delay_s=fault.factor / 1e3)
 
     async def _zone_loss(self, fault: FaultPlan) -> None:
         lost = [(p, a) for p in self.fleet.positions if p.zone == fault.zones[0] for a in list(p.held)]
@@ -305,7 +306,7 @@
 
     async def _kill_agent(self, fault: FaultPlan) -> None:
         if self.running.pop(fault.agent, None) is None:
-            return  # it is down
+            return  # not running
         await self.agents[fault.agent].kill()
         self.tape.add(AgentDown(self._now(), fault.agent, "killed"))
         await asyncio.sleep(fault.lasts / 1e3)
@@ -313,30 +314,30 @@
 
     async def _stop_agent(self, fault: FaultPlan) -> None:
         if self.running.pop(fault.agent, None) is None:
-            return  # it is down
+            return  # not running
         await self.agents[fault.agent].stop()
         self.tape.add(AgentDown(self._now(), fault.agent, "stopped"))
         await asyncio.sleep(fault.lasts / 1e3)
         await self._start_agent(fault.agent)
 
     def _pause_agent(self, fault: FaultPlan) -> Callable[[], None]:
-        number, life = fault.agent, self.running.get(fault.agent)
-        if life is None:
-            return lambda: None  # it is down
-        held, since = self._standing.get(number, (0, self._now()))
-        self._standing[number] = held + 1, since
+        number, address = fault.agent, self.running.get(fault.agent)
+        if address is None:
+            return lambda: None  # not running
+        count, since = self._pauses.get(number, (0, self._now()))
+        self._pauses[number] = count + 1, since
         self.agents[number].pause(True)
 
-        def go_on() -> None:
-            held, since = self._standing.pop(number)
-            if held > 1:
-                self._standing[number] = held - 1, since
+        def resume() -> None:
+            count, since = self._pauses.pop(number)
+            if count > 1:
+                self._pauses[number] = count - 1, since
                 return
             self.agents[number].pause(False)
-            if self.running.get(number) == life:
+            if self.running.get(number) == address:
                 self.tape.add(Stood(self._now(), number, since))
 
-        return go_on
+        return resume
 
     async def _drain(self, fault: FaultPlan) -> None:
         drained = self._servers(fault)
@@ -351,7 +352,7 @@
         for position, appliance in places:
             self.fleet.end(position, appliance)
         await asyncio.sleep(fault.lasts / 1e3)
-        for position, appliance in places:  # under its old id, cold
+        for position, appliance in places:  # with its old id, cold
             await self.fleet.start(position, appliance.build, True, appliance.server)
 
     def _pause_servers(self, fault: FaultPlan) -> None:
@@ -359,41 +360,41 @@
             appliance.pause(fault.lasts / 1e3)
 
     def _slow_servers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set(self._servers(fault), slow=fault.factor)
+        return self._override(self._servers(fault), slow=fault.factor)
 
     def _fail_servers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set(self._servers(fault), fail_share=fault.share)
+        return self._override(self._servers(fault), fail_share=fault.share)
 
     def _silent_servers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set(self._servers(fault), silent=True)
+        return self._override(self._servers(fault), silent=True)
 
     def _garbage_servers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set(self._servers(fault), garbage=True)
+        return self._override(self._servers(fault), garbage=True)
 
     def _midway_servers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set(self._servers(fault), midway=True)
+        return self._override(self._servers(fault), midway=True)
 
     def _twice_servers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set(self._servers(fault), twice=True)
+        return self._override(self._servers(fault), twice=True)
 
     def _shared_slow(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self.fleet], drag=fault.factor)
+        return self._override([self.fleet], drag=fault.factor)
 
     def _burst(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self], burst=fault.factor)
+        return self._override([self], burst=fault.factor)
 
     def _desk_stall(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self.desk], stalled=True)
+        return self._override([self.desk], stalled=True)
 
     def _lose_vote_answers(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self.desk], lose_answers=True)
+        return self._override([self.desk], lose_answers=True)
 
     def _list_late(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self.fleet.list], extra_lag_s=fault.factor)
+        return self._override([self.fleet.list], extra_lag_s=fault.factor)
 
     def _drop_feeds(self, fault: FaultPlan) -> None:
         self.fleet.list.source.drop_all()
         self.desk.source.drop_all()
 
     def _repeat_feeds(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self.fleet.list.source, self.desk.source], twice=True)
+        return self._override([self.fleet.list.source, self.desk.source], twice=True)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,8 +1,8 @@
-"""Ports of days that are played side by side.
+"""Reservation of ports for days that are played in parallel.
 
-Two cluster days in CI drew one port from the same range, and an agent of the second ended with "address already in
-use". A port was looked at, let go, and bound by an agent some tenths of a second later; nothing kept another day
-from drawing it meanwhile. Ports are claimed now until the day ends.
+Regression: two cluster days in CI chose the same port, and an agent of the second failed with "address already in
+use". A free port was probed, released, and bound by an agent some tenths of a second later; nothing kept another
+day from choosing it in between. Ports are now claimed until the end of the day.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 CLAIM_AND_WAIT = """
 import asyncio, sys
 from otterquay.lab import ports
-ports.FIRST_PORT, ports.PORTS = int(sys.argv[1]), 6
+ports.FIRST_PORT, ports.PORT_COUNT = int(sys.argv[1]), 6
 async def main():
     print(*ports.claim_ports(3).ports, flush=True)
     sys.stdin.read()
@@ -39,12 +39,12 @@
 
 @pytest.fixture
 def six_ports(monkeypatch: pytest.MonkeyPatch) -> set[int]:
-    """Only these may be claimed, from a range that no other test draws from."""
+    """Restricts claims to six free ports, outside the range that other tests use."""
     while True:
         first = random.randrange(12000, 19000)
         monkeypatch.setattr(ports, "FIRST_PORT", first)
-        monkeypatch.setattr(ports, "PORTS", 6)
-        with contextlib.suppress(OSError):  # something else has one of them
+        monkeypatch.setattr(ports, "PORT_COUNT", 6)
+        with contextlib.suppress(OSError):  # one of them is in use
             claimed(6).release()
             return set(range(first, first + 6))
 
--- a/tests/test_sim.py
+++ b/tests/test_sim.py
@@ -188,7 +188,7 @@
 
     with pytest.raises(NoProgressError, match="nothing is left"):
         simulate(waits(), 1)
-    with pytest.raises(NoProgressError, match="time does not move"):
+    with pytest.raises(NoProgressError, match="time does not advance"):
         simulate(spins(), 1)
 
 
