--- a/otterquay/lab/simloop.py
+++ b/otterquay/lab/simloop.py
@@ -53,15 +53,13 @@
 
 @dataclass(slots=True)
 class Network:
-    """Conditions of the network; may be changed at any time."""
+    """Conditions of the network; may be changed during a run."""
 
     delay_s: float = 50e-6
     jitter_s: float = 0.0
     loss: float = 0.0  # share of datagrams
     bytes_per_s: float = 1.25e9
-    cuts: dict[tuple[str, str], None] = field(
-        default_factory=dict
-    )  # source and target zone of links that drop everything
+    cuts: dict[tuple[str, str], None] = field(default_factory=dict)  # source and target zones without traffic
 
     def is_cut(self, source: str, target: str) -> bool:
         """Whether the link from one zone to the other drops everything."""
