--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from otterquay.lab.runtimes import draw, estimates, score
+from otterquay.lab.runtimes import draw_fleet, estimates, score
 from otterquay.runtimes import rows as rw
 from otterquay.runtimes.evidence import SharedEvidence
 from otterquay.runtimes.machine import Estimate, Machine
@@ -21,7 +21,7 @@
     found = score(range(30))
     best = min(error for name, error in found.errors.items() if name not in ("model",))
     assert found.errors["model"] < best and found.answers > 100
-    assert 0.85 <= found.inside <= 0.97
+    assert 0.85 <= found.interval_coverage <= 0.97
 
 
 @pytest.mark.parametrize("how", [{"liars": 1}, {"cut_at": 1.5}, {"trial": 3.0}], ids=str)
@@ -29,8 +29,8 @@
     plain, other = score(range(8)), score(range(8), **how)
     assert other.errors["model"] - plain.errors["model"] < (0.02 if "trial" not in how else 0.04)
     moved = [
-        abs(one[0] - estimates(draw(3, **how))[spot][0])  # type: ignore[arg-type]
-        for spot, one in list(estimates(draw(3)).items())[:6]
+        abs(one[0] - estimates(draw_fleet(3, **how))[spot][0])  # type: ignore[arg-type]
+        for spot, one in list(estimates(draw_fleet(3)).items())[:6]
     ]
     assert max(moved) < (0.15 if "trial" not in how else 0.3), "the slow build's log factor is 1.1"
 
