--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -81,7 +81,7 @@
     )
 
 
-class Driven:
+class TrialDriver:
     """An agent in the middle of a trial, and one of each thing that may happen to it."""
 
     def __init__(self, servers: int, agents: int = 540) -> None:
@@ -171,7 +171,7 @@
 WHAT = ("verdict", "request", "tally", "change", "refusal")
 
 
-def instructions(work: Callable[[], None]) -> int:
+def count_instructions(work: Callable[[], None]) -> int:
     """Bytecode instructions that the module executes for it: work counted, not timed."""
     count = 0
 
@@ -192,23 +192,23 @@
     return count
 
 
-def steps(servers: int, agents: int = 540) -> dict[str, int]:
+def instruction_counts(servers: int, agents: int = 540) -> dict[str, int]:
     """Instructions of each thing that may happen, in a fleet of this size."""
-    driven, found = Driven(servers, agents), dict[str, int]()
+    driven, found = TrialDriver(servers, agents), dict[str, int]()
     for what in WHAT:
         driven.bin()
         driven.request()  # ranks the fleet, once a bin
         driven.tally()  # and looks for its youngest server, once a list
         if what == "verdict":
             driven.evidence()
-        found[what] = instructions(getattr(driven, what))
+        found[what] = count_instructions(getattr(driven, what))
     return found
 
 
 def memory(servers: int) -> int:
     """Bytes of an agent in the middle of a trial."""
     tracemalloc.start()
-    driven = Driven(servers)
+    driven = TrialDriver(servers)
     taken = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     assert driven.agent
@@ -223,7 +223,7 @@
 def measure(rounds: int) -> dict[str, Any]:
     """All figures: at 48 and 480 servers, at 540 and 5,400 agents."""
     sizes = {"48 servers": (48, 540), "480 servers": (480, 540), "48 servers, 5400 agents": (48, 5400)}
-    driven = {name: Driven(*size) for name, size in sizes.items()}
+    driven = {name: TrialDriver(*size) for name, size in sizes.items()}
     times: dict[str, dict[str, list[float]]] = {name: {what: [] for what in WHAT} for name in sizes}
     for _ in range(rounds):
         for name, one in driven.items():
@@ -236,7 +236,7 @@
                 begin = time.process_time_ns()
                 getattr(one, what)()
                 times[name][what].append((time.process_time_ns() - begin) / 1e3)
-    work = {name: steps(*size) for name, size in sizes.items()}
+    work = {name: instruction_counts(*size) for name, size in sizes.items()}
     held = {name: memory(size[0]) for name, size in sizes.items() if size[1] == 540}
     found: dict[str, Any] = {}
     one, ten, many = sizes
--- a/tests/test_work.py
+++ b/tests/test_work.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import AgentDriver, entry, sends, settings
 
-from benchmarks.verdict import Driven, instructions, steps
+from benchmarks.verdict import TrialDriver, count_instructions, instruction_counts
 from otterquay import interface as it
 from otterquay import policy
 from otterquay.policy.agent import Agent
@@ -68,7 +68,7 @@
 
 def test_work_grows_with_the_fleet_only_where_every_server_counts() -> None:
     """Counts bytecode instructions at 48 and 480 servers. A tally once visited every server."""
-    small, large = steps(48), steps(480)
+    small, large = instruction_counts(48), instruction_counts(480)
     grown = {what: large[what] / small[what] for what in small}
     assert grown["request"] < 1.1 and grown["tally"] < 1.1, "a request and a tally visit few servers"
     assert grown["verdict"] < 10 and grown["change"] < 10 and grown["refusal"] < 10, (
@@ -79,14 +79,14 @@
 
 
 def test_work_does_not_grow_with_the_number_of_agents() -> None:
-    small, large = steps(48, 540), steps(48, 5400)
+    small, large = instruction_counts(48, 540), instruction_counts(48, 5400)
     assert small == large
 
 
 def test_a_verdict_after_many_errors_costs_no_more_than_after_few() -> None:
     def verdict_instructions_after(errors: float) -> int:
-        driven = Driven(48)
+        driven = TrialDriver(48)
         driven.agent._add_evidence(driven.agent.own_row, 2, 0, 2 * errors, errors)
-        return instructions(driven.verdict)
+        return count_instructions(driven.verdict)
 
     assert verdict_instructions_after(1e6) < 1.2 * verdict_instructions_after(10.0)
