--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,10 +1,11 @@
-"""What a refusal costs through the agent, against a served request, as the fleet and the load grow.
+"""Cost of a refused request in the agent, compared with a served one, as the fleet and the load grow.
 
     python benchmarks/overload.py [--seconds 3] [--out FILE]
 
-Servers on trial under a small cap may be sent almost nothing, so nearly all is refused; the same servers released
-serve all. Each pair runs on the same agent process, one after the other. The second table offers 1 to 10 times
-what a fleet of 8 slow appliances can serve. CPU is user and system time of the agent's process a request.
+The first table compares two phases of the same servers on the same agent process, one after the other: on trial
+under a small cap, where nearly all requests are refused, and released, where all are served. The second table
+offers 0.5 to 10 times the load that a fleet of 8 slow appliances can serve. CPU is user and system time of the
+agent's process per request.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 import click
 import msgspec
-from relay import ASK, LINES, cpu_of, spawn
+from relay import CONNECTIONS, REQUEST_BYTES, cpu_of, spawn
 
 from otterquay.protocol import news
 from otterquay.protocol.http import HttpRequest, write_response
@@ -28,88 +29,91 @@
 SERVICE_S, CORES, MACHINES = 0.08, 2, 8
 
 
-class Slow:
-    """An appliance of CORES cores that takes SERVICE_S a request and turns away what its queue cannot hold."""
+class SlowAppliance:
+    """An appliance with CORES cores and a service time of `seconds`; refuses requests while its queue is full.
+
+    With a service time of 0 it answers at once.
+    """
 
     def __init__(self, seconds: float) -> None:
-        self.seconds, self.busy, self.waiting = seconds, 0, list[Peer]()
+        self.service_s, self.busy, self.queue = seconds, 0, list[Peer]()
         self.listener = Listener(self.request)
 
     def request(self, peer: Peer, _: HttpRequest) -> None:
-        if not self.seconds:
+        if not self.service_s:
             return peer.send(write_response(200, [], b"right\n"))
-        if len(self.waiting) > 20:
+        if len(self.queue) > 20:
             return peer.send(write_response(503, [(b"otterquay-seen", b"no")], b""))
-        self.waiting.append(peer)
-        self.fill()
+        self.queue.append(peer)
+        self.start_queued()
 
-    def fill(self) -> None:
-        while self.waiting and self.busy < CORES:
+    def start_queued(self) -> None:
+        while self.queue and self.busy < CORES:
             self.busy += 1
-            asyncio.get_running_loop().call_later(self.seconds, self.done, self.waiting.pop(0))
+            asyncio.get_running_loop().call_later(self.service_s, self.finish, self.queue.pop(0))
 
-    def done(self, peer: Peer) -> None:
+    def finish(self, peer: Peer) -> None:
         self.busy -= 1
         peer.send(write_response(200, [], b"right\n"))
-        self.fill()
+        self.start_queued()
 
 
-async def serve(seconds: float, servers: int) -> None:
-    """A world of `servers` entries over MACHINES appliances; a line on standard input tells the phase."""
-    machines = [Slow(seconds) for _ in range(MACHINES)]
-    for one in machines:
-        await one.listener.start()
+async def serve_world(seconds: float, servers: int) -> None:
+    """Serve MACHINES appliances, a fleet list of `servers` entries and a desk; stdin lines set the phase."""
+    appliances = [SlowAppliance(seconds) for _ in range(MACHINES)]
+    for appliance in appliances:
+        await appliance.listener.start()
     entries = [
-        news.Entry(i + 1, "north", "ready", 2, machines[i % MACHINES].listener.address, i + 1)
+        news.Entry(i + 1, "north", "ready", 2, appliances[i % MACHINES].listener.address, i + 1)
         for i in range(servers)
     ]
     fleet = msgspec.json.encode(news.FleetNews(1, entries)).decode()
-    number, state = 1, news.Stage(2, 0, "released", 1.0, 0.0)
+    version, stage = 1, news.Stage(2, 0, "released", 1.0, 0.0)
     sources = [
         EventSource("b", lambda *_: [("full", fleet, 1)], lambda *_: None),
-        EventSource("b", lambda *_: [("stage", msgspec.json.encode(state).decode(), number)], lambda *_: None),
+        EventSource("b", lambda *_: [("stage", msgspec.json.encode(stage).decode(), version)], lambda *_: None),
     ]
     print(json.dumps([await s.start() for s in sources]), flush=True)
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        number += 1
+        version += 1
         phase = line.decode().strip()
-        state = news.Stage(2, 0, phase, 0.05 if phase == "trial" else 1.0, 0.0)  # type: ignore[arg-type]
-        sources[1].publish("stage", msgspec.json.encode(state).decode(), number)
+        stage = news.Stage(2, 0, phase, 0.05 if phase == "trial" else 1.0, 0.0)  # type: ignore[arg-type]
+        sources[1].publish("stage", msgspec.json.encode(stage).decode(), version)
 
 
-async def offered(address: str, rate: float, seconds: float) -> dict[str, int]:
-    """Open loop at a rate; counts of answers by kind."""
+async def offer_load(address: str, rate: float, seconds: float) -> dict[str, int]:
+    """Send requests in an open loop at a mean rate; return the number of answers by kind."""
     host, port = address.split(":")
-    free = [await asyncio.open_connection(host, int(port)) for _ in range(LINES)]
+    idle = [await asyncio.open_connection(host, int(port)) for _ in range(CONNECTIONS)]
     rng, due, counts, tasks = random.Random(3), time.perf_counter(), {"served": 0, "refused": 0, "failed": 0}, set()
     end = due + seconds
 
-    async def one() -> None:
-        line = free.pop() if free else await asyncio.open_connection(host, int(port))
-        line[1].write(ASK)
-        data = await line[0].read(65536)
+    async def send_request() -> None:
+        connection = idle.pop() if idle else await asyncio.open_connection(host, int(port))
+        connection[1].write(REQUEST_BYTES)
+        data = await connection[0].read(65536)
         for kind in counts:
             counts[kind] += f"otterquay-answer: {kind}".encode() in data
-        free.append(line)
+        idle.append(connection)
 
     while due < end:
         due += rng.expovariate(rate)
         if (wait := due - time.perf_counter()) > 0:
             await asyncio.sleep(wait)
-        task = asyncio.create_task(one())
+        task = asyncio.create_task(send_request())
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     await asyncio.gather(*tasks)
-    for _, writer in free:
+    for _, writer in idle:
         writer.close()
     return counts
 
 
-async def world(seconds: float, servers: int) -> tuple[Any, Any, str]:
-    """A world and an agent in it."""
-    process = await asyncio.create_subprocess_exec(
+async def start_world(seconds: float, servers: int) -> tuple[Any, Any, str]:
+    """Start the stand-ins and an agent; return both processes and the agent's address."""
+    standins = await asyncio.create_subprocess_exec(
         sys.executable,
         __file__,
         "--world",
@@ -117,9 +121,9 @@
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
     )
-    assert process.stdout
-    fleet, desk = json.loads(await process.stdout.readline())
-    agent, said = await spawn(
+    assert standins.stdout
+    fleet, desk = json.loads(await standins.stdout.readline())
+    agent, ready_line = await spawn(
         "-m",
         "otterquay",
         "agent",
@@ -137,45 +141,45 @@
         "error",
     )
     await asyncio.sleep(1.0)
-    return process, agent, said.split()[1]
+    return standins, agent, ready_line.split()[1]
 
 
 async def measure(seconds: float) -> dict[str, Any]:
-    """Both tables."""
-    refusal, load = [], []
+    """Measure both tables."""
+    refusal_rows, load_rows = [], []
     for servers in (12, 48, 200):
-        stand, agent, address = await world(0.0, servers)
+        standins, agent, address = await start_world(0.0, servers)
         row: dict[str, Any] = {"servers": servers}
         for phase in ("released", "trial"):
-            stand.stdin.write(phase.encode() + b"\n")
+            standins.stdin.write(phase.encode() + b"\n")
             await asyncio.sleep(0.5)
-            await offered(address, 300, 2.5)  # the window of the other phase runs out
-            before = cpu_of(agent.pid)
-            counts = await offered(address, 1000, seconds)
-            row[phase] = {**counts, "cpu_us": round((cpu_of(agent.pid) - before) / sum(counts.values()) * 1e6)}
+            await offer_load(address, 300, 2.5)  # until the window of the previous phase has expired
+            cpu_before = cpu_of(agent.pid)
+            counts = await offer_load(address, 1000, seconds)
+            row[phase] = {**counts, "cpu_us": round((cpu_of(agent.pid) - cpu_before) / sum(counts.values()) * 1e6)}
         row["refused_to_served"] = round(row["trial"]["cpu_us"] / row["released"]["cpu_us"], 2)
-        refusal.append(row)
-        for process in (agent, stand):
+        refusal_rows.append(row)
+        for process in (agent, standins):
             process.kill()
             await process.wait()
-    capacity = MACHINES * CORES / SERVICE_S
-    stand, agent, address = await world(SERVICE_S, MACHINES)
-    for times in (0.5, 1, 2, 3, 5, 10):
+    capacity_per_s = MACHINES * CORES / SERVICE_S
+    standins, agent, address = await start_world(SERVICE_S, MACHINES)
+    for load_factor in (0.5, 1, 2, 3, 5, 10):
         await asyncio.sleep(2.0)
-        before = cpu_of(agent.pid)
-        counts = await offered(address, capacity * times, seconds)
-        load.append(
+        cpu_before = cpu_of(agent.pid)
+        counts = await offer_load(address, capacity_per_s * load_factor, seconds)
+        load_rows.append(
             {
-                "times_of_capacity": times,
+                "times_of_capacity": load_factor,
                 **counts,
-                "served_to_capacity": round(counts["served"] / seconds / capacity, 2),
-                "cpu_us": round((cpu_of(agent.pid) - before) / max(sum(counts.values()), 1) * 1e6),
+                "served_to_capacity": round(counts["served"] / seconds / capacity_per_s, 2),
+                "cpu_us": round((cpu_of(agent.pid) - cpu_before) / max(sum(counts.values()), 1) * 1e6),
             }
         )
-    for process in (agent, stand):
+    for process in (agent, standins):
         process.kill()
         await process.wait()
-    return {"refusals": refusal, "load": load}
+    return {"refusals": refusal_rows, "load": load_rows}
 
 
 @click.command()
@@ -185,8 +189,8 @@
 def main(seconds: float, out: Path | None, as_world: str | None) -> None:
     """Measure and print one JSON object."""
     if as_world:
-        service, servers = as_world.split(",")
-        asyncio.run(serve(float(service), int(servers)))
+        service_s, servers = as_world.split(",")
+        asyncio.run(serve_world(float(service_s), int(servers)))
         return
     text = json.dumps(asyncio.run(measure(seconds)), indent=1)
     print(text)
--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -1,11 +1,12 @@
-"""What one verdict on a new build costs, and what it grows with: servers, and agents told of.
+"""Cost of one verdict on a new build, and how it grows with the number of servers and of configured agents.
 
     python benchmarks/verdict.py [--rounds 15] [--out FILE]
 
-One agent of the decision module, driven by hand: a fleet of which a tenth runs the build on trial, all servers with
-series, evidence in every pool. Each figure is CPU time of this process, the median of rounds taken in turn at all
-sizes, so that ratios hold where the machine's speed does not. Beside it stands the work in bytecode instructions,
-which is the same on every run; `tests/test_work.py` holds its growth.
+Drives one agent of the decision module directly, without I/O. A tenth of the fleet runs the build on trial, every
+server has a latency series, and every evidence pool has data. Each figure is CPU time of this process: the median
+of rounds that alternate between all sizes, so that ratios are comparable even if the machine's speed varies. The
+work is also counted in bytecode instructions, which are the same on every run; `tests/test_work.py` bounds their
+growth.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 from otterquay import interface as it
 from otterquay.policy.agent import Agent
 
-NOW = 1e6
+START_MS = 1e6
 
 
 def settings(agents: int, me: int = 0) -> it.Settings:
-    """A deployment with two classes, peers and tallies."""
+    """Return settings with two request classes, peers and platform tallies."""
     classes = tuple(
         it.RequestClass(name, effect, it.Scope.ALL, 5000.0, 1000.0, 0.0, 3000.0, 1.0, 0.2, False)
         for name, effect in (("read", it.Effect.SAFE), ("buy", it.Effect.UNSAFE))
@@ -82,14 +83,14 @@
 
 
 class TrialDriver:
-    """An agent in the middle of a trial, and one of each thing that may happen to it."""
+    """Drives an agent in the middle of a trial; one method for each measured operation."""
 
     def __init__(self, servers: int, agents: int = 540) -> None:
-        self.agent, self.now, self.ids, self.servers = Agent(settings(agents), 1), NOW, 0, servers
-        self.rng, self.out = random.Random(1), list[tuple[it.Send, float]]()
-        self.give(it.Started())
+        self.agent, self.now, self.last_request, self.servers = Agent(settings(agents), 1), START_MS, 0, servers
+        self.rng, self.sends = random.Random(1), list[tuple[it.Send, float]]()
+        self.deliver(it.Started())
         trial = max(servers // 10, 1)
-        self.give(
+        self.deliver(
             it.ServerList(
                 it.ListKind.FULL,
                 1,
@@ -99,19 +100,19 @@
                 ),
             )
         )
-        self.give(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 0.0))
-        self.give(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.14, 0.0))
+        self.deliver(it.StageNews(1, 0, it.Phase.RELEASED, False, it.Status.OK, 1.0, 0.0))
+        self.deliver(it.StageNews(2, 0, it.Phase.TRIAL, False, it.Status.OK, 0.14, 0.0))
         self.now += 2500.0
         for _ in range(10):
-            self.bin()
+            self.complete_bin()
 
-    def give(self, event: it.Event) -> list[it.Action]:
+    def deliver(self, event: it.Event) -> list[it.Action]:
         actions = self.agent.handle(self.now, event)
-        self.out.extend((a, self.now) for a in actions if isinstance(a, it.Send))
+        self.sends.extend((a, self.now) for a in actions if isinstance(a, it.Send))
         return actions
 
-    def evidence(self) -> None:
-        """Two outcomes a class of every server; what an agent with all of the traffic would see in a bin."""
+    def add_evidence(self) -> None:
+        """Add two outcomes per class and server: what an agent with all of the traffic would see in a bin."""
         self.now += 10.0
         for server in self.agent.servers.values():
             for cls in range(2):
@@ -121,34 +122,36 @@
         self.agent._add_evidence(self.agent.own_row, 2, 8, 20.0, 1.0)
         self.agent._add_evidence(self.agent.own_row, 1, 8, 20.0, 1.0)
 
-    def bin(self) -> None:
-        """A bin full of evidence and its verdict."""
-        self.evidence()
+    def complete_bin(self) -> None:
+        """Fill a bin with evidence and close it."""
+        self.add_evidence()
         self.verdict()
 
     def verdict(self) -> None:
-        """The bin closes while a build is judged."""
+        """Close the bin while a build is on trial."""
         self.now = max(self.now, self.agent.next_bin_at)
-        self.give(it.TimerFired(0))
+        self.deliver(it.TimerFired(0))
 
     def request(self) -> None:
-        """A request is taken, sent and answered."""
+        """Deliver one request, and an outcome for each attempt that is open."""
         self.now += 1.0
-        self.ids += 1
-        self.give(it.Request(self.ids, self.ids % 2, 0, 0, 2000.0, 0.0, False, False, False))
-        while self.out:
-            send, at = self.out.pop()
-            self.give(it.Outcome(send.request, send.server, 0, it.Status.OK, self.now - at + 80.0, True, ()))
+        self.last_request += 1
+        self.deliver(it.Request(self.last_request, self.last_request % 2, 0, 0, 2000.0, 0.0, False, False, False))
+        while self.sends:
+            send, sent_at = self.sends.pop()
+            self.deliver(
+                it.Outcome(send.request, send.server, 0, it.Status.OK, self.now - sent_at + 80.0, True, ())
+            )
 
     def tally(self) -> None:
-        """The platform's count of one build and class."""
-        self.give(it.Tally(2, 0, 40, 1, 100.0, 300.0))
+        """Deliver the platform's tally of one build and class."""
+        self.deliver(it.Tally(2, 0, 40, 1, 100.0, 300.0))
 
     def change(self) -> None:
-        """One server of the list restarts, and the next request is taken by the new list."""
+        """Restart one server of the fleet list and deliver a request, which is routed by the updated list."""
         self.now += 1.0
         entry = self.agent.servers[self.servers - 1].entry
-        self.give(
+        self.deliver(
             it.ServerList(
                 it.ListKind.DELTA,
                 2,
@@ -158,21 +161,21 @@
         self.request()
 
     def refusal(self) -> None:
-        """A request for which every server has as much open as it may: all are asked."""
+        """Deliver a request while every server is at its concurrency limit, so that all of them are checked."""
         self.now += 1.0
         for server in self.agent.servers.values():
             server.concurrency_limit = 0.0
-        self.ids += 1
-        self.give(it.Request(self.ids, 0, 0, 0, 2000.0, 0.0, False, False, False))
+        self.last_request += 1
+        self.deliver(it.Request(self.last_request, 0, 0, 0, 2000.0, 0.0, False, False, False))
         for server in self.agent.servers.values():
             server.concurrency_limit = 6.0
 
 
-WHAT = ("verdict", "request", "tally", "change", "refusal")
+OPERATIONS = ("verdict", "request", "tally", "change", "refusal")
 
 
 def count_instructions(work: Callable[[], None]) -> int:
-    """Bytecode instructions that the module executes for it: work counted, not timed."""
+    """Return the number of bytecode instructions that the decision module executes for a piece of work."""
     count = 0
 
     def trace(frame: FrameType, event: str, _: Any) -> Any:
@@ -193,76 +196,85 @@
 
 
 def instruction_counts(servers: int, agents: int = 540) -> dict[str, int]:
-    """Instructions of each thing that may happen, in a fleet of this size."""
-    driven, found = TrialDriver(servers, agents), dict[str, int]()
-    for what in WHAT:
-        driven.bin()
-        driven.request()  # ranks the fleet, once a bin
-        driven.tally()  # and looks for its youngest server, once a list
-        if what == "verdict":
-            driven.evidence()
-        found[what] = count_instructions(getattr(driven, what))
-    return found
+    """Return the instructions of each measured operation in a fleet of this size."""
+    driver, counts = TrialDriver(servers, agents), dict[str, int]()
+    for operation in OPERATIONS:
+        driver.complete_bin()
+        driver.request()  # so that the ranking of the fleet, done once per bin, is not counted
+        driver.tally()  # likewise the search for the youngest server, done once per list
+        if operation == "verdict":
+            driver.add_evidence()
+        counts[operation] = count_instructions(getattr(driver, operation))
+    return counts
 
 
 def memory(servers: int) -> int:
-    """Bytes of an agent in the middle of a trial."""
+    """Return the bytes that an agent in the middle of a trial takes."""
     tracemalloc.start()
-    driven = TrialDriver(servers)
-    taken = tracemalloc.get_traced_memory()[0]
+    driver = TrialDriver(servers)
+    used_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert driven.agent
-    return taken
+    assert driver.agent
+    return used_bytes
 
 
-def order(small: float, large: float) -> float:
-    """The exponent by which a figure grows over ten times the size."""
+def growth_exponent(small: float, large: float) -> float:
+    """Return the exponent of a figure's growth over ten times the size."""
     return round(math.log10(max(large, 1e-9) / max(small, 1e-9)), 2)
 
 
 def measure(rounds: int) -> dict[str, Any]:
-    """All figures: at 48 and 480 servers, at 540 and 5,400 agents."""
+    """Measure all figures at 48 and 480 servers and at 540 and 5,400 agents."""
     sizes = {"48 servers": (48, 540), "480 servers": (480, 540), "48 servers, 5400 agents": (48, 5400)}
-    driven = {name: TrialDriver(*size) for name, size in sizes.items()}
-    times: dict[str, dict[str, list[float]]] = {name: {what: [] for what in WHAT} for name in sizes}
+    drivers = {name: TrialDriver(*size) for name, size in sizes.items()}
+    cpu_us: dict[str, dict[str, list[float]]] = {
+        name: {operation: [] for operation in OPERATIONS} for name in sizes
+    }
     for _ in range(rounds):
-        for name, one in driven.items():
-            for what in WHAT:
-                one.bin()
-                one.request()
-                one.tally()
-                if what == "verdict":
-                    one.evidence()
+        for name, driver in drivers.items():
+            for operation in OPERATIONS:
+                driver.complete_bin()
+                driver.request()
+                driver.tally()
+                if operation == "verdict":
+                    driver.add_evidence()
                 begin = time.process_time_ns()
-                getattr(one, what)()
-                times[name][what].append((time.process_time_ns() - begin) / 1e3)
-    work = {name: instruction_counts(*size) for name, size in sizes.items()}
-    held = {name: memory(size[0]) for name, size in sizes.items() if size[1] == 540}
-    found: dict[str, Any] = {}
-    one, ten, many = sizes
-    for what in WHAT:
-        us = {name: median(times[name][what]) for name in sizes}
-        found[what] = {
-            "cpu_us": {name: round(value, 1) for name, value in us.items()},
-            "instructions": {name: work[name][what] for name in sizes},
+                getattr(driver, operation)()
+                cpu_us[name][operation].append((time.process_time_ns() - begin) / 1e3)
+    instructions = {name: instruction_counts(*size) for name, size in sizes.items()}
+    memory_bytes = {name: memory(size[0]) for name, size in sizes.items() if size[1] == 540}
+    figures: dict[str, Any] = {}
+    base, ten_times_servers, ten_times_agents = sizes
+    for operation in OPERATIONS:
+        medians = {name: median(cpu_us[name][operation]) for name in sizes}
+        figures[operation] = {
+            "cpu_us": {name: round(value, 1) for name, value in medians.items()},
+            "instructions": {name: instructions[name][operation] for name in sizes},
             "order_by_servers": {
-                "cpu": order(us[one], us[ten]),
-                "instructions": order(work[one][what], work[ten][what]),
+                "cpu": growth_exponent(medians[base], medians[ten_times_servers]),
+                "instructions": growth_exponent(
+                    instructions[base][operation], instructions[ten_times_servers][operation]
+                ),
             },
             "order_by_agents": {
-                "cpu": order(us[one], us[many]),
-                "instructions": order(work[one][what], work[many][what]),
+                "cpu": growth_exponent(medians[base], medians[ten_times_agents]),
+                "instructions": growth_exponent(
+                    instructions[base][operation], instructions[ten_times_agents][operation]
+                ),
             },
         }
-    found["memory"] = {"bytes": held, "bytes_a_server": round((held[ten] - held[one]) / (480 - 48))}
-    return found
+    figures["memory"] = {
+        "bytes": memory_bytes,
+        "bytes_a_server": round((memory_bytes[ten_times_servers] - memory_bytes[base]) / (480 - 48)),
+    }
+    return figures
 
 
 @click.command()
 @click.option("--rounds", default=15, show_default=True)
 @click.option("--out", type=click.Path(path_type=Path))
 def main(rounds: int, out: Path | None) -> None:
-    """Print the figures as JSON."""
+    """Measure and print the figures as JSON."""
     text = json.dumps(measure(rounds), indent=1)
     print(text)
     if out:
