--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -226,9 +226,9 @@
     await run_closed_loop(ready_line.split()[1], seconds)
     agent.terminate()
     assert agent.stdout
-    module_us = float(await agent.stdout.readline())
+    cost_us = float(await agent.stdout.readline())
     await agent.wait()
-    return module_us
+    return cost_us
 
 
 async def measure(seconds: float, rounds: int, loop: str) -> dict[str, Any]:
