--- a/deploy/sites/make.py
+++ b/deploy/sites/make.py
@@ -1,11 +1,11 @@
-"""Write variants of a deployment's site file: the site with a short overlay of our own laid over it.
+"""Write variants of a deployment's site file by applying overlays to it.
 
     python deploy/sites/make.py SITE.toml deploy/sites/quotes-long.toml [...] --to deploy/sites/made
 
-An overlay is TOML of the site's own form, with two differences: entries of a list of tables (classes, tenants,
-tiers) stand in a table by the name that the site gives them, as in `[class.lobby-read]`, and may name only fields
-that the site has. Each variant goes into a folder of its own, with the files that the bench wants beside a site.
-Exit 2 with one line for an overlay that does not fit.
+An overlay is TOML with the structure of the site file, with two differences: the entries of a list of tables
+(classes, tenants, tiers) are tables under the entry's name in the site, as in `[class.lobby-read]`, and an overlay
+may set only fields that the site has. Each variant is written to its own folder, together with the files that the
+bench expects next to a site file. Exits with status 2 and one line on standard error if an overlay does not fit.
 """
 
 from __future__ import annotations
@@ -19,50 +19,50 @@
 
 import tomli_w
 
-BESIDE = ("design.json", "real.json", "unlock.txt", "wire.json")
+COMPANION_FILES = ("design.json", "real.json", "unlock.txt", "wire.json")
 
 
 class OverlayError(Exception):
-    """The overlay does not fit the site; the text names the field."""
+    """The overlay does not fit the site; the message names the field."""
 
 
-def overlaid(site: Any, overlay: Any, at: str = "") -> Any:
-    """The site's value with the overlay's laid over it; OverlayError names a field that the site lacks."""
+def apply_overlay(site: Any, overlay: Any, path: str = "") -> Any:
+    """Return the site's value with the overlay applied; raises OverlayError for a field that the site lacks."""
     if isinstance(site, list) and isinstance(overlay, dict):
         names = [entry.get("name") if isinstance(entry, dict) else None for entry in site]
         if unknown := [name for name in overlay if name not in names]:
-            raise OverlayError(f"{at}.{unknown[0]}: the site has no entry of this name")
+            raise OverlayError(f"{path}.{unknown[0]}: the site has no entry with this name")
         return [
-            overlaid(entry, overlay[name], f"{at}.{name}") if name in overlay else entry
+            apply_overlay(entry, overlay[name], f"{path}.{name}") if name in overlay else entry
             for name, entry in zip(names, site, strict=True)
         ]
     if isinstance(site, dict) and isinstance(overlay, dict):
         if unknown := [name for name in overlay if name not in site]:
-            raise OverlayError(f"{at}.{unknown[0]}".lstrip(".") + ": the site has no such field")
+            raise OverlayError(f"{path}.{unknown[0]}".lstrip(".") + ": the site has no such field")
         return {
-            name: overlaid(value, overlay[name], f"{at}.{name}".lstrip(".")) if name in overlay else value
+            name: apply_overlay(value, overlay[name], f"{path}.{name}".lstrip(".")) if name in overlay else value
             for name, value in site.items()
         }
     if isinstance(site, dict | list) is not isinstance(overlay, dict | list):
-        raise OverlayError(f"{at}: not of the kind that the site has there")
+        raise OverlayError(f"{path}: the site has a value of another kind here")
     return overlay
 
 
-def make(site: Path, overlay: Path, to: Path) -> Path:
-    """Write the variant with what belongs beside it; returns the site file."""
-    laid = overlaid(tomllib.loads(site.read_text()), tomllib.loads(overlay.read_text()))
+def write_variant(site: Path, overlay: Path, to: Path) -> Path:
+    """Write the variant and its companion files; returns the path of the site file."""
+    variant = apply_overlay(tomllib.loads(site.read_text()), tomllib.loads(overlay.read_text()))
     folder = to / overlay.stem
     folder.mkdir(parents=True, exist_ok=True)
-    for name in BESIDE:
-        if (beside := site.parent / name).exists():
-            shutil.copyfile(beside, folder / name)
-    made = folder / f"{overlay.stem}.toml"
-    made.write_text(tomli_w.dumps(laid))
-    return made
+    for name in COMPANION_FILES:
+        if (companion := site.parent / name).exists():
+            shutil.copyfile(companion, folder / name)
+    variant_file = folder / f"{overlay.stem}.toml"
+    variant_file.write_text(tomli_w.dumps(variant))
+    return variant_file
 
 
 def main(arguments: list[str]) -> int:
-    """The program."""
+    """Parse the arguments, write all variants and return the exit status."""
     parser = argparse.ArgumentParser(description="Write variants of a site file.")
     parser.add_argument("site", type=Path)
     parser.add_argument("overlays", type=Path, nargs="+")
@@ -70,7 +70,7 @@
     options = parser.parse_args(arguments)
     for overlay in options.overlays:
         try:
-            print(make(options.site, overlay, options.to))
+            print(write_variant(options.site, overlay, options.to))
         except (OverlayError, OSError, tomllib.TOMLDecodeError) as error:
             print(f"{overlay}: {error}", file=sys.stderr)
             return 2
--- a/tests/test_site_variants.py
+++ b/tests/test_site_variants.py
@@ -1,4 +1,4 @@
-"""The script that lays an overlay of our own over a deployment's site file."""
+"""Tests of `deploy/sites/make.py`, which applies overlays to a deployment's site file."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     return module
 
 
-def written(tmp_path: Path, overlay: str) -> list[str]:
+def write_inputs(tmp_path: Path, overlay: str) -> list[str]:
     (tmp_path / "harbour.toml").write_text(SITE)
     (tmp_path / "wire.json").write_text("{}")
     (tmp_path / "ours.toml").write_text(overlay)
@@ -40,9 +40,11 @@
 
 
 def test_an_overlay_replaces_what_it_names_and_leaves_the_rest(make: ModuleType, tmp_path: Path) -> None:
-    assert make.main(written(tmp_path, 'name = "ours"\n[class.write]\nname = "bid"\nshare = [0.1, 0.2]\n')) == 0
-    made = tomllib.loads((tmp_path / "made" / "ours" / "ours.toml").read_text())
-    assert made == {
+    assert (
+        make.main(write_inputs(tmp_path, 'name = "ours"\n[class.write]\nname = "bid"\nshare = [0.1, 0.2]\n')) == 0
+    )
+    variant = tomllib.loads((tmp_path / "made" / "ours" / "ours.toml").read_text())
+    assert variant == {
         "name": "ours",
         "rules": {"drain_grace_ms": 2000},
         "class": [{"name": "read", "share": [0.3, 0.4]}, {"name": "bid", "share": [0.1, 0.2]}],
@@ -61,15 +63,15 @@
         ("[rules.drain_grace_ms]\na = 1\n", "rules.drain_grace_ms"),
     ],
 )
-def test_an_overlay_that_does_not_fit_is_one_line_with_the_field(
+def test_an_overlay_that_does_not_fit_is_reported_in_one_line_with_the_field(
     make: ModuleType, tmp_path: Path, capsys: pytest.CaptureFixture[str], overlay: str, field: str
 ) -> None:
-    assert make.main(written(tmp_path, overlay)) == 2
-    said = capsys.readouterr().err.strip()
-    assert said.count("\n") == 0 and f"{field}:" in said and not (tmp_path / "made").exists()
+    assert make.main(write_inputs(tmp_path, overlay)) == 2
+    error = capsys.readouterr().err.strip()
+    assert error.count("\n") == 0 and f"{field}:" in error and not (tmp_path / "made").exists()
 
 
-def test_our_overlays_are_toml_and_carry_names_of_their_own() -> None:
+def test_our_overlays_are_toml_and_use_distinct_names() -> None:
     overlays = [tomllib.loads(path.read_text()) for path in sorted(FOLDER.glob("*.toml"))]
     assert len(overlays) == 2
     for overlay in overlays:
