--- a/benchmarks/chat.py
+++ b/benchmarks/chat.py
@@ -22,7 +22,7 @@
 import click
 from relay import at, cpu_of, memory_of, opened, spawn
 
-from otterquay.chat.gateway import Wire, dial
+from otterquay.chat.gateway import WebSocket, dial
 
 
 class Client:
@@ -30,12 +30,12 @@
 
     def __init__(self, address: str, number: int) -> None:
         self.address, self.number, self.token, self.typed = address, number, "", 0
-        self.wire: Wire | None = None
+        self.websocket: WebSocket | None = None
 
     async def _next(self, kind: str) -> dict[str, Any]:
-        assert self.wire
+        assert self.websocket
         while True:
-            for text in self.wire.messages():
+            for text in self.websocket.messages():
                 self.queue.append(json.loads(text))
             while self.queue:
                 message = self.queue.pop(0)
@@ -43,18 +43,18 @@
                     return message
                 if message["type"] == "error":
                     raise RuntimeError(str(message))
-            if not await self.wire.receive():
+            if not await self.websocket.receive():
                 raise ConnectionResetError
-            self.wire.flush()
+            self.websocket.flush()
 
     def _send(self, **message: Any) -> None:
-        assert self.wire
-        self.wire.send(json.dumps(message).encode())
+        assert self.websocket
+        self.websocket.send(json.dumps(message).encode())
 
     async def enter(self) -> None:
         """Connect; resume where there is a token."""
         self.queue: list[dict[str, Any]] = []
-        self.wire = await dial(self.address)
+        self.websocket = await dial(self.address)
         await self._next("challenge")
         if self.token:
             self._send(type="resume", token=self.token, open=[])
@@ -94,8 +94,8 @@
     print("in", flush=True)
     await asyncio.to_thread(sys.stdin.readline)
     for client in held:
-        assert client.wire
-        client.wire.writer.transport.abort()
+        assert client.websocket
+        client.websocket.writer.transport.abort()
     begin = time.perf_counter()
     await asyncio.gather(*(c.enter() for c in held))
     print(time.perf_counter() - begin, flush=True)
--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -24,31 +24,31 @@
 
 from otterquay.addresses import split_address
 from otterquay.agent.ports import Ask, Asker, Final
-from otterquay.chat import hub as hb
-from otterquay.chat import messages as ms
+from otterquay.chat import hub as chat_hub
+from otterquay.chat import messages
+from otterquay.chat.handshake_pacer import HandshakePacer
 from otterquay.chat.ledger import Ledger
-from otterquay.chat.pace import Pace
 from otterquay.config.schema import Service
 from otterquay.logs import Logger
 from otterquay.protocol.http import HttpRequest
 from otterquay.store import Store
 
-READ_SIZE = 65536
-HANDSHAKE_S = 5.0  # for a client's request and for a relay's connection; not a matter of the module
-TICK_S = 0.25
+READ_BYTES = 65536
+HANDSHAKE_TIMEOUT_S = 5.0  # for a client's request and for a relay's connection; not a matter of the module
+TICK_INTERVAL_S = 0.25
 
 
 @dataclass(slots=True, eq=False)
-class Wire:
+class WebSocket:
     """One WebSocket over asyncio streams, either side."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     protocol: ServerProtocol | ClientProtocol
-    heard: float = 0.0
-    pinged: bool = False
-    _parts: list[bytes] = field(default_factory=list)
-    _whole: list[bytes] = field(default_factory=list)
+    last_received_s: float = 0.0
+    ping_sent: bool = False
+    _fragments: list[bytes] = field(default_factory=list)
+    _complete: list[bytes] = field(default_factory=list)
 
     def flush(self) -> None:
         """Write what the protocol has ready."""
@@ -77,12 +77,12 @@
 
     async def receive(self) -> bool:
         """Hand the next bytes to the protocol; False at their end."""
-        data = await self.reader.read(READ_SIZE)
+        data = await self.reader.read(READ_BYTES)
         if not data:
             self.protocol.receive_eof()
             self.flush()
             return False
-        self.heard, self.pinged = asyncio.get_running_loop().time(), False
+        self.last_received_s, self.ping_sent = asyncio.get_running_loop().time(), False
         self.protocol.receive_data(data)
         return True
 
@@ -90,44 +90,44 @@
         """Whole messages that have come; refuses binary ones."""
         for event in self.protocol.events_received():
             if isinstance(event, Frame):
-                self.frame(event)
-        whole, self._whole = self._whole, []
+                self.handle_frame(event)
+        whole, self._complete = self._complete, []
         return whole
 
-    def frame(self, frame: Frame) -> None:
+    def handle_frame(self, frame: Frame) -> None:
         """Take a data frame; control frames are the protocol's affair."""
         if frame.opcode is Opcode.BINARY:
             self.close(1003, "text messages only")
         elif frame.opcode in (Opcode.TEXT, Opcode.CONT):
-            self._parts.append(bytes(frame.data))
+            self._fragments.append(bytes(frame.data))
             if frame.fin:
-                text = b"".join(self._parts)
-                self._parts.clear()
+                text = b"".join(self._fragments)
+                self._fragments.clear()
                 try:
                     text.decode()
                 except UnicodeDecodeError:  # RFC 6455 section 8.1; the library leaves it to its caller
                     self.protocol.fail(1007, "not UTF-8")
                     self.flush()
                 else:
-                    self._whole.append(text)
+                    self._complete.append(text)
 
 
-class Player:
+class CommandRequester:
     """An asker in the decision module's books on behalf of one command."""
 
-    def __init__(self, ref: int, tell: Callable[[hb.Event], None]) -> None:
+    def __init__(self, ref: int, feed: Callable[[chat_hub.Event], None]) -> None:
         self.number: int | None = None
-        self._ref, self._tell = ref, tell
+        self._ref, self._feed = ref, feed
 
     def final(self, answer: Final) -> None:
         """The one final answer."""
         self.number = None
         text = answer.body.decode("utf-8", "replace").strip()
-        self._tell(hb.Finished(self._ref, answer.kind, text, answer.retry_after_ms))  # type: ignore[arg-type]
+        self._feed(chat_hub.Finished(self._ref, answer.kind, text, answer.retry_after_ms))  # type: ignore[arg-type]
 
     def attempt(self, count: int) -> None:
         """An attempt was sent."""
-        self._tell(hb.Attempted(self._ref, count))
+        self._feed(chat_hub.Attempted(self._ref, count))
 
     def settled(self) -> None:
         """Nothing waits behind it."""
@@ -146,28 +146,28 @@
         key: bytes,
         rng: random.Random,
         log: Logger,
-        take: Callable[[Ask, Asker], bool],
-        ask: Callable[[str], str],
+        submit_request: Callable[[Ask, Asker], bool],
+        query: Callable[[str], str],
         store: Store | None = None,
     ) -> None:
         assert service.chat is not None
         self._service, self._settings, self._log = service, service.chat, log
-        self._take, self._ask = take, ask
+        self._submit_request, self._query = submit_request, query
         tenants = tuple(service.tenant)
-        self._life = rng.getrandbits(63)
-        self.hub = hb.Hub(
-            service.chat, tenants, service.agent.number, self._life, key, rng, keeps=store is not None
+        self._incarnation = rng.getrandbits(63)
+        self.hub = chat_hub.Hub(
+            service.chat, tenants, service.agent.number, self._incarnation, key, rng, persistent=store is not None
         )
         self._ledger = Ledger(store, log) if store else None
         self._tenants = {name: i for i, name in enumerate(tenants)}
         self._classes = {name: i for i, name in enumerate(service.class_)}
         self._deadlines = [c.deadline for c in service.class_.values()]
-        self._wires: dict[int, Wire] = {}
-        self._relays: dict[int, Wire] = {}
+        self._websockets: dict[int, WebSocket] = {}
+        self._relays: dict[int, WebSocket] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._conns = 0
+        self._last_conn_id = 0
         # who waits longer than a session is kept comes too late for it
-        self._pace = Pace(
+        self._handshake_pacer = HandshakePacer(
             service.chat.handshake_rate, service.chat.handshake_burst, service.chat.resume_within / 1e3
         )
         self._server: asyncio.Server | None = None
@@ -181,7 +181,7 @@
         name = self._server.sockets[0].getsockname()
         if self._ledger:
             now = asyncio.get_running_loop().time() * 1e3
-            self.hub.recall(now, self._ledger.recall(self._life))
+            self.hub.restore(now, self._ledger.load(self._incarnation))
         self._tick()
         return str(name[0]), int(name[1])
 
@@ -196,50 +196,50 @@
         self.stop_listening()
         if self._timer:
             self._timer.cancel()
-        for wire in [*self._wires.values(), *self._relays.values()]:
-            wire.close(1012, "the agent ends")
-            wire.writer.close()
+        for websocket in [*self._websockets.values(), *self._relays.values()]:
+            websocket.close(1012, "the agent ends")
+            websocket.writer.close()
         for task in list(self._tasks):
             task.cancel()
 
     def abort(self) -> None:
         """End as a killed process does: no word to anyone."""
-        for wire in [*self._wires.values(), *self._relays.values()]:
-            wire.writer.transport.abort()
-        self._wires.clear()
+        for websocket in [*self._websockets.values(), *self._relays.values()]:
+            websocket.writer.transport.abort()
+        self._websockets.clear()
         self._relays.clear()
         self.close()
 
-    def feed(self, event: hb.Event) -> None:
+    def feed(self, event: chat_hub.Event) -> None:
         """One event to the hub, its actions carried out in order."""
         for action in self.hub.handle(asyncio.get_running_loop().time() * 1e3, event):
-            self._act(action)
+            self._perform(action)
 
-    def _act(self, action: hb.Action) -> None:
+    def _perform(self, action: chat_hub.Action) -> None:
         match action:
-            case hb.Deliver(conn, message):
-                if wire := self._wires.get(conn):
-                    wire.send(ms.encode(message))
-                    if wire.writer.transport.get_write_buffer_size() > self._settings.max_unsent:
-                        self._log.info("chat_too_slow", conn=conn)
-                        wire.writer.transport.abort()
-            case hb.Shut(conn, code, reason):
-                if wire := self._wires.get(conn):
-                    wire.close(code, reason)
-            case hb.Submit():
+            case chat_hub.Deliver(conn_id, message):
+                if websocket := self._websockets.get(conn_id):
+                    websocket.send(messages.encode(message))
+                    if websocket.writer.transport.get_write_buffer_size() > self._settings.max_unsent:
+                        self._log.info("chat_too_slow", conn=conn_id)
+                        websocket.writer.transport.abort()
+            case chat_hub.Disconnect(conn_id, code, reason):
+                if websocket := self._websockets.get(conn_id):
+                    websocket.close(code, reason)
+            case chat_hub.Submit():
                 self._submit(action)
-            case hb.Relay(conn, home, first):
-                task = asyncio.get_running_loop().create_task(self._relay(conn, home, first))
+            case chat_hub.Relay(conn_id, home, first):
+                task = asyncio.get_running_loop().create_task(self._relay(conn_id, home, first))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
-            case hb.Keep():
+            case chat_hub.Persist():
                 if self._ledger:
                     self._ledger.keep(action)
-            case hb.Query(conn, id, what):
-                if wire := self._wires.get(conn):
-                    wire.send(ms.encode(ms.Report(self._ask(what), id)))
+            case chat_hub.Query(conn_id, id, what):
+                if websocket := self._websockets.get(conn_id):
+                    websocket.send(messages.encode(messages.Report(self._query(what), id)))
 
-    def _submit(self, submit: hb.Submit) -> None:
+    def _submit(self, submit: chat_hub.Submit) -> None:
         cls = self._classes[submit.cls]
         effect = self._service.class_[submit.cls].effect
         headers = {
@@ -253,151 +253,163 @@
         http = HttpRequest(b"POST", submit.target.encode(), headers, submit.body, True)
         tenant = self._tenants.get(submit.tenant, 0)
         ask = Ask(http, cls, tenant, key, self._deadlines[cls], None, False)
-        if not self._take(ask, Player(submit.ref, self.feed)):
-            self.feed(hb.Finished(submit.ref, "refused", "nothing more is taken", 1000.0))
+        if not self._submit_request(ask, CommandRequester(submit.ref, self.feed)):
+            self.feed(chat_hub.Finished(submit.ref, "refused", "nothing more is taken", 1000.0))
 
     # --- sockets ---
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         protocol = ServerProtocol(
-            subprotocols=[Subprotocol(ms.SUBPROTOCOL)],
+            subprotocols=[Subprotocol(messages.SUBPROTOCOL)],
             max_size=self._settings.max_message,
             extensions=[ServerPerMessageDeflateFactory(server_max_window_bits=12, client_max_window_bits=12)],
         )
-        wire = Wire(reader, writer, protocol, asyncio.get_running_loop().time())
-        self._conns += 1
-        conn = self._conns
+        websocket = WebSocket(reader, writer, protocol, asyncio.get_running_loop().time())
+        self._last_conn_id += 1
+        conn_id = self._last_conn_id
         try:
-            if (wait := self._pace.wait(wire.heard)) is None:
+            if (wait := self._handshake_pacer.reserve_slot(websocket.last_received_s)) is None:
                 self._log.info("chat_crowded")
                 return
             await asyncio.sleep(wait)
-            async with asyncio.timeout(HANDSHAKE_S):
-                ready = await self._handshake(wire)
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                ready = await self._handshake(websocket)
             if ready:
-                self._wires[conn] = wire
+                self._websockets[conn_id] = websocket
                 peer = writer.get_extra_info("peername")
-                self.feed(hb.Opened(conn, str(peer[0]) if peer else ""))
-                await self._converse(conn, wire)
+                self.feed(chat_hub.Opened(conn_id, str(peer[0]) if peer else ""))
+                await self._receive_messages(conn_id, websocket)
         except TimeoutError:
             self._log.info("chat_handshake_slow")
         except (OSError, RuntimeError, asyncio.CancelledError):
             pass  # the client (RuntimeError: in uvloop's words) or the loop has gone
         finally:
-            if self._wires.pop(conn, None):
-                self.feed(hb.Closed(conn))
-            if relay := self._relays.pop(conn, None):
+            if self._websockets.pop(conn_id, None):
+                self.feed(chat_hub.Closed(conn_id))
+            if relay := self._relays.pop(conn_id, None):
                 relay.close(1001, "the client has gone")
                 relay.writer.close()
             writer.close()
 
-    async def _handshake(self, wire: Wire) -> bool:
-        protocol = wire.protocol
+    async def _handshake(self, websocket: WebSocket) -> bool:
+        protocol = websocket.protocol
         assert isinstance(protocol, ServerProtocol)
         while protocol.state is State.CONNECTING:
-            if not await wire.receive():
+            if not await websocket.receive():
                 return False
             for event in protocol.events_received():
                 if isinstance(event, Request):
                     response = protocol.accept(event)
-                    if response.status_code == 101 and protocol.subprotocol != ms.SUBPROTOCOL:
-                        response = protocol.reject(400, f"speak subprotocol {ms.SUBPROTOCOL}\n")
+                    if response.status_code == 101 and protocol.subprotocol != messages.SUBPROTOCOL:
+                        response = protocol.reject(400, f"speak subprotocol {messages.SUBPROTOCOL}\n")
                     elif response.status_code == 101 and self._stopping:
                         response = protocol.reject(503, "the agent ends\n")
                     if response.status_code != 101:
                         self._log.info("chat_handshake_refused", status=response.status_code)
                     protocol.send_response(response)
-            wire.flush()
+            websocket.flush()
             if protocol.handshake_exc is not None:
                 return False
         return protocol.state is State.OPEN
 
-    async def _converse(self, conn: int, wire: Wire) -> None:
+    async def _receive_messages(self, conn_id: int, websocket: WebSocket) -> None:
         while True:
-            for text in wire.messages():
-                if relay := self._relays.get(conn):
+            for text in websocket.messages():
+                if relay := self._relays.get(conn_id):
                     relay.send(text)
                 else:
-                    self.feed(hb.Received(conn, text))
-            wire.flush()
-            if wire.protocol.state is State.CLOSED:
-                if wire.protocol.close_exc and wire.protocol.close_code not in (None, 1000, 1001, 1005, 1006):
-                    self._log.info("chat_closed", code=wire.protocol.close_code, reason=wire.protocol.close_reason)
+                    self.feed(chat_hub.Received(conn_id, text))
+            websocket.flush()
+            if websocket.protocol.state is State.CLOSED:
+                if websocket.protocol.close_exc and websocket.protocol.close_code not in (
+                    None,
+                    1000,
+                    1001,
+                    1005,
+                    1006,
+                ):
+                    self._log.info(
+                        "chat_closed", code=websocket.protocol.close_code, reason=websocket.protocol.close_reason
+                    )
                 return
-            if not await wire.receive():
+            if not await websocket.receive():
                 return
 
     def _tick(self) -> None:
         """Sessions' times, and pings: a socket that is silent for two periods is gone."""
         loop = asyncio.get_running_loop()
-        self.feed(hb.Tick())
+        self.feed(chat_hub.Tick())
         now, every = loop.time(), self._settings.ping_every / 1e3
-        for wire in list(self._wires.values()):
-            if now - wire.heard >= 2 * every:
-                wire.writer.transport.abort()
-            elif now - wire.heard >= every and not wire.pinged and wire.protocol.state is State.OPEN:
-                wire.pinged = True
-                wire.protocol.send_ping(b"")
-                wire.flush()
-        self._timer = loop.call_later(min(TICK_S, every / 2), self._tick)
+        for websocket in list(self._websockets.values()):
+            if now - websocket.last_received_s >= 2 * every:
+                websocket.writer.transport.abort()
+            elif (
+                now - websocket.last_received_s >= every
+                and not websocket.ping_sent
+                and websocket.protocol.state is State.OPEN
+            ):
+                websocket.ping_sent = True
+                websocket.protocol.send_ping(b"")
+                websocket.flush()
+        self._timer = loop.call_later(min(TICK_INTERVAL_S, every / 2), self._tick)
 
     # --- sessions held by another agent ---
-    async def _relay(self, conn: int, home: int, first: bytes) -> None:
+    async def _relay(self, conn_id: int, home: int, first: bytes) -> None:
         """Carry a resuming client's messages to and from the agent that holds its session."""
         address = self._settings.agents.get(str(home))
-        far: Wire | None = None
+        upstream: WebSocket | None = None
         try:
             if address is None or home == self._service.agent.number:
                 raise OSError(f"agent {home} has no address in chat.agents")
-            async with asyncio.timeout(HANDSHAKE_S):
-                far = await dial(address, self._settings.max_message)
-                challenge = await _first(far)
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
+                upstream = await dial(address, self._settings.max_message)
+                challenge = await _first_message(upstream)
         except (OSError, TimeoutError) as error:
             self._log.warning("chat_home_lost", home=home, reason=str(error) or type(error).__name__)
-            if far:
-                far.writer.close()
-            return self.feed(hb.HomeLost(conn))
-        wire = self._wires.get(conn)
-        if wire is None or challenge is None:
-            far.writer.close()
-            return self.feed(hb.HomeLost(conn)) if wire else None
-        self._relays[conn] = far
-        far.send(first)
+            if upstream:
+                upstream.writer.close()
+            return self.feed(chat_hub.HomeUnreachable(conn_id))
+        websocket = self._websockets.get(conn_id)
+        if websocket is None or challenge is None:
+            upstream.writer.close()
+            return self.feed(chat_hub.HomeUnreachable(conn_id)) if websocket else None
+        self._relays[conn_id] = upstream
+        upstream.send(first)
         try:
-            while await far.receive():
-                for text in far.messages():
-                    wire.send(text)
-                far.flush()
-                if far.protocol.state is State.CLOSED:
+            while await upstream.receive():
+                for text in upstream.messages():
+                    websocket.send(text)
+                upstream.flush()
+                if upstream.protocol.state is State.CLOSED:
                     break
         except (OSError, RuntimeError):
             pass  # uvloop calls a connection that has gone the latter
         finally:
-            far.writer.close()
-            if self._relays.pop(conn, None):  # the holder has ended: the client comes back and learns more
-                code = far.protocol.close_code
-                wire.close(code if code and code != 1006 else 1012, "the holding agent ended the connection")
+            upstream.writer.close()
+            if self._relays.pop(conn_id, None):  # the holder has ended: the client comes back and learns more
+                code = upstream.protocol.close_code
+                websocket.close(code if code and code != 1006 else 1012, "the holding agent ended the connection")
 
 
-async def _first(wire: Wire) -> bytes | None:
+async def _first_message(websocket: WebSocket) -> bytes | None:
     """The first message on a connection."""
     while True:
-        if found := wire.messages():
+        if found := websocket.messages():
             return found[0]
-        if not await wire.receive():
+        if not await websocket.receive():
             return None
 
 
-async def dial(address: str, max_message: int = 1 << 20) -> Wire:
+async def dial(address: str, max_message: int = 1 << 20) -> WebSocket:
     """An open WebSocket to a gateway; OSError when there is none to be had."""
     protocol = ClientProtocol(
-        parse_uri(f"ws://{address}/"), subprotocols=[Subprotocol(ms.SUBPROTOCOL)], max_size=max_message
+        parse_uri(f"ws://{address}/"), subprotocols=[Subprotocol(messages.SUBPROTOCOL)], max_size=max_message
     )
     reader, writer = await asyncio.open_connection(*split_address(address))
-    wire = Wire(reader, writer, protocol)
+    websocket = WebSocket(reader, writer, protocol)
     protocol.send_request(protocol.connect())
-    wire.flush()
+    websocket.flush()
     while protocol.state is State.CONNECTING:
-        if not await wire.receive() or protocol.handshake_exc:
+        if not await websocket.receive() or protocol.handshake_exc:
             writer.close()
             raise ConnectionRefusedError(f"no WebSocket at {address}: {protocol.handshake_exc}")
         for event in protocol.events_received():
@@ -405,5 +417,5 @@
                 writer.close()
                 raise ConnectionRefusedError(f"{address} answered {event.status_code}")
             if isinstance(event, Frame):  # messages may come with the handshake
-                wire.frame(event)
-    return wire
+                websocket.handle_frame(event)
+    return websocket
--- a/otterquay/chat/grammar.py
+++ b/otterquay/chat/grammar.py
@@ -19,10 +19,10 @@
 BARE: /(?!--)[^\s"\\=\x00-\x1f][^\s"\\\x00-\x1f]*/
 _WS: /[ \t]+/
 """
-TEXT_MOST = 2000
+MAX_TEXT_CHARS = 2000
 
 
-class Mistyped(Exception):
+class CommandSyntaxError(Exception):
     """Not a command; `column` counts from 1."""
 
     def __init__(self, reason: str, column: int) -> None:
@@ -31,46 +31,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Typed:
+class ParsedCommand:
     """A command as typed; options without a value have an empty one."""
 
     name: str
-    words: tuple[str, ...]
+    arguments: tuple[str, ...]
     options: tuple[tuple[str, str], ...]
 
 
-def _plain(token: Token) -> str:
+def _unquote(token: Token) -> str:
     text = str(token)
     if token.type == "QUOTED":
         return text[1:-1].replace('\\"', '"').replace("\\\\", "\\")
     return text
 
 
-class _Build(Transformer[Token, Typed]):
+class _CommandBuilder(Transformer[Token, ParsedCommand]):
     def word(self, items: list[Token]) -> str:
-        return _plain(items[0])
+        return _unquote(items[0])
 
     def option(self, items: list[Token | None]) -> tuple[str, str]:
-        return str(items[0]), _plain(items[1]) if items[1] is not None else ""
+        return str(items[0]), _unquote(items[1]) if items[1] is not None else ""
 
-    def start(self, items: list[object]) -> Typed:
-        words = tuple(i for i in items[1:] if isinstance(i, str))
-        return Typed(str(items[0]), words, tuple(i for i in items[1:] if isinstance(i, tuple)))
+    def start(self, items: list[object]) -> ParsedCommand:
+        arguments = tuple(i for i in items[1:] if isinstance(i, str))
+        return ParsedCommand(str(items[0]), arguments, tuple(i for i in items[1:] if isinstance(i, tuple)))
 
 
-_PARSER = Lark(GRAMMAR, parser="lalr", transformer=_Build(), maybe_placeholders=True)
+_PARSER = Lark(GRAMMAR, parser="lalr", transformer=_CommandBuilder(), maybe_placeholders=True)
 
 
-def parse(text: str) -> Typed:
+def parse(text: str) -> ParsedCommand:
     """The command in a line; Mistyped says where it goes wrong."""
-    if len(text) > TEXT_MOST:
-        raise Mistyped(f"over {TEXT_MOST} characters", TEXT_MOST + 1)
+    if len(text) > MAX_TEXT_CHARS:
+        raise CommandSyntaxError(f"over {MAX_TEXT_CHARS} characters", MAX_TEXT_CHARS + 1)
     try:
         typed = _PARSER.parse(text)
     except UnexpectedInput as error:
         ended = getattr(getattr(error, "token", None), "type", "") == "$END"
-        raise Mistyped("not a command", len(text) + 1 if ended else max(error.column, 1)) from None
+        raise CommandSyntaxError("not a command", len(text) + 1 if ended else max(error.column, 1)) from None
     except LarkError as error:
-        raise Mistyped(str(error).splitlines()[0], 1) from None
-    assert isinstance(typed, Typed)
+        raise CommandSyntaxError(str(error).splitlines()[0], 1) from None
+    assert isinstance(typed, ParsedCommand)
     return typed
--- a/otterquay/chat/pace.py
+++ b/otterquay/chat/handshake_pacer.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True)
-class Pace:
+class HandshakePacer:
     """Slots `1 / rate` seconds apart; a slot that nobody took is not kept, beyond `burst` of them.
 
     One whose slot would be more than `most` seconds away gets none: a crowd that has gone must not hold up who
@@ -15,13 +15,13 @@
 
     rate: float
     burst: float
-    most: float = float("inf")
-    _next: float = float("-inf")
+    max_wait_s: float = float("inf")
+    _next_slot: float = float("-inf")
 
-    def wait(self, now: float) -> float | None:
+    def reserve_slot(self, now: float) -> float | None:
         """Seconds from `now` until this one's slot; each call takes one, but None takes none."""
-        slot = max(self._next, now - self.burst / self.rate) + 1 / self.rate
-        if slot - now > self.most:
+        slot = max(self._next_slot, now - self.burst / self.rate) + 1 / self.rate
+        if slot - now > self.max_wait_s:
             return None
-        self._next = slot
+        self._next_slot = slot
         return max(0.0, slot - now)
--- a/otterquay/chat/hub.py
+++ b/otterquay/chat/hub.py
@@ -16,14 +16,14 @@
 
 import msgspec
 
-from otterquay.chat import messages as ms
-from otterquay.chat.grammar import Mistyped, parse
-from otterquay.chat.tokens import Resume, Role, proves, seal, unseal
+from otterquay.chat import messages
+from otterquay.chat.grammar import CommandSyntaxError, parse
+from otterquay.chat.tokens import ResumeToken, Role, decode_token, encode_token, verify_proof
 from otterquay.config.schema import Chat
 
 
 # --- what is kept over a restart ---
-class KeptSession(msgspec.Struct, array_like=True, frozen=True):
+class StoredSession(msgspec.Struct, array_like=True, frozen=True):
     """A session as it is written down."""
 
     tenant: str
@@ -32,30 +32,30 @@
     secrets: list[int]
 
 
-class KeptEntry(msgspec.Struct, array_like=True, frozen=True):
+class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
     """A command as it is written down; `retired` tells that its answer was acknowledged and dropped."""
 
     text: str
-    answer: ms.Answer | None = None
+    answer: messages.Answer | None = None
     acked: bool = False
     retired: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Persist:
     """Write down a session (no id) or one of its commands; with no record remove it, a session with all it has."""
 
     session: int
     id: str
-    record: KeptSession | KeptEntry | None
+    record: StoredSession | StoredEntry | None
 
 
 @dataclass(frozen=True, slots=True)
-class Recalled:
+class StoredSessions:
     """What was written down before a restart, under the life that tokens of then name."""
 
-    life: int
-    sessions: dict[int, tuple[KeptSession, dict[str, KeptEntry]]]
+    incarnation: int
+    sessions: dict[int, tuple[StoredSession, dict[str, StoredEntry]]]
 
 
 # --- events ---
@@ -63,7 +63,7 @@
 class Opened:
     """A socket has opened, from this address."""
 
-    conn: int
+    conn_id: int
     address: str
 
 
@@ -71,7 +71,7 @@
 class Received:
     """A whole text message came."""
 
-    conn: int
+    conn_id: int
     text: bytes
 
 
@@ -79,7 +79,7 @@
 class Closed:
     """A socket has ended."""
 
-    conn: int
+    conn_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,10 +101,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HomeLost:
+class HomeUnreachable:
     """The agent that holds the session of this resuming socket cannot be reached."""
 
-    conn: int
+    conn_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,7 +119,7 @@
     """Time has passed."""
 
 
-Event = Opened | Received | Closed | Finished | Attempted | HomeLost | News | Tick
+Event = Opened | Received | Closed | Finished | Attempted | HomeUnreachable | News | Tick
 
 
 # --- actions ---
@@ -127,15 +127,15 @@
 class Deliver:
     """Write a message."""
 
-    conn: int
-    message: ms.Outgoing
+    conn_id: int
+    message: messages.Outgoing
 
 
 @dataclass(frozen=True, slots=True)
-class Shut:
+class Disconnect:
     """Close a socket."""
 
-    conn: int
+    conn_id: int
     code: int
     reason: str
 
@@ -156,7 +156,7 @@
 class Relay:
     """Carry this socket's messages to and from the agent that holds its session, `first` first."""
 
-    conn: int
+    conn_id: int
     home: int
     first: bytes
 
@@ -165,30 +165,30 @@
 class Query:
     """An operator's question for the agent."""
 
-    conn: int
+    conn_id: int
     id: str
     what: Literal["status", "votes"]
 
 
-Action = Deliver | Shut | Submit | Relay | Query | Keep
+Action = Deliver | Disconnect | Submit | Relay | Query | Persist
 
 
 # --- state ---
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """A token bucket: `rate` a second, `burst` at most."""
 
     rate: float
     burst: float
     level: float
-    at: float
+    updated_at: float
 
-    def full(self, now: float) -> bool:
-        return self.level + (now - self.at) / 1e3 * self.rate >= self.burst
+    def is_full(self, now: float) -> bool:
+        return self.level + (now - self.updated_at) / 1e3 * self.rate >= self.burst
 
-    def take(self, now: float) -> bool:
-        self.level = min(self.burst, self.level + (now - self.at) / 1e3 * self.rate)
-        self.at = now
+    def try_take(self, now: float) -> bool:
+        self.level = min(self.burst, self.level + (now - self.updated_at) / 1e3 * self.rate)
+        self.updated_at = now
         if self.level < 1.0:
             return False
         self.level -= 1.0
@@ -201,7 +201,7 @@
 
     id: str
     text: str
-    answer: ms.Answer | None = None
+    answer: messages.Answer | None = None
     acked: bool = False
 
 
@@ -213,10 +213,10 @@
     tenant: str
     name: str
     role: Role
-    conn: int | None
-    bucket: Bucket
+    conn_id: int | None
+    bucket: TokenBucket
     secrets: list[int] = field(default_factory=list)  # the last one shown to be in use, and those given since
-    detached: float = 0.0
+    detached_at: float = 0.0
     entries: OrderedDict[str, Entry] = field(default_factory=OrderedDict)
     retired: OrderedDict[str, None] = field(default_factory=OrderedDict)  # ids of answers no longer kept
     following: bool = False
@@ -224,22 +224,24 @@
 
 
 @dataclass(slots=True)
-class _Line:
+class _Connection:
     """One socket."""
 
     address: str
     nonce: str
-    since: float
+    opened_at: float
     session: Session | None = None
-    resuming: ms.ResumeHello | None = None
-    token: Resume | None = None
+    resuming: messages.ResumeHello | None = None
+    token: ResumeToken | None = None
     secret: int = 0
 
 
-HELP = "status, votes, follow"
-RESTARTED = "the agent was restarted while this command was open"
-UNSHOWN = 16  # tokens of a session that are good at once
-RETIRED = 16  # ids of dropped answers that a session remembers, for each answer that it may keep
+OPERATOR_COMMANDS = "status, votes, follow"
+RESTARTED_TEXT = "the agent was restarted while this command was open"
+MAX_VALID_TOKENS = 16  # tokens of a session that are good at once
+RETIRED_IDS_PER_KEPT_ANSWER = (
+    16  # ids of dropped answers that a session remembers, for each answer that it may keep
+)
 
 
 class Hub:
@@ -252,29 +254,38 @@
         self,
         settings: Chat,
         tenants: tuple[str, ...],
-        me: int,
-        life: int,
+        agent_number: int,
+        incarnation: int,
         key: bytes,
         rng: random.Random,
-        keeps: bool = False,
+        persistent: bool = False,
     ) -> None:
-        self._s, self._tenants, self._me, self._life, self._key, self._rng = (settings, tenants, me, life, key, rng)
-        self._lines: dict[int, _Line] = {}
+        self._settings, self._tenants, self._agent_number, self._incarnation, self._key, self._rng = (
+            settings,
+            tenants,
+            agent_number,
+            incarnation,
+            key,
+            rng,
+        )
+        self._connections: dict[int, _Connection] = {}
         self._sessions: dict[int, Session] = {}
-        self._refs: dict[int, tuple[Session, Entry]] = {}
+        self._submitted: dict[int, tuple[Session, Entry]] = {}
         self._addresses: dict[str, int] = {}
-        self._buckets: dict[str, Bucket] = {}
-        self._out: list[Action] = []
+        self._tenant_buckets: dict[str, TokenBucket] = {}
+        self._actions: list[Action] = []
         self._now = 0.0
         self._last_ref = 0
-        self._keeps = keeps
+        self._persistent = persistent
         self.counts = dict.fromkeys(("accepted", "answered", "unknown", "dropped", "resumed", "expired"), 0)
 
-    def recall(self, now: float, recalled: Recalled) -> None:
+    def restore(self, now: float, recalled: StoredSessions) -> None:
         """Take up sessions of before a restart; nobody knows what became of an open command: its id is spent."""
-        self._life = recalled.life
+        self._incarnation = recalled.incarnation
         for id, (kept, entries) in recalled.sessions.items():
-            bucket = Bucket(self._s.session_rate, self._s.session_burst, self._s.session_burst, now)
+            bucket = TokenBucket(
+                self._settings.session_rate, self._settings.session_burst, self._settings.session_burst, now
+            )
             session = self._sessions[id] = Session(
                 id, kept.tenant, kept.name, kept.role, None, bucket, list(kept.secrets), now, restored=True
             )
@@ -282,18 +293,18 @@
                 if entry.retired:
                     session.retired[name] = None
                 else:
-                    answer = entry.answer or ms.Answer(name, "unknown", RESTARTED)
+                    answer = entry.answer or messages.Answer(name, "unknown", RESTARTED_TEXT)
                     session.entries[name] = Entry(name, entry.text, answer, entry.acked)
                     self.counts["unknown"] += entry.answer is None
 
     def _save(self, session: Session, entry: Entry | None = None) -> None:
-        if not self._keeps:
+        if not self._persistent:
             return
         if entry is None:
-            record = KeptSession(session.tenant, session.name, session.role, session.secrets[:])
-            self._out.append(Keep(session.id, "", record))
+            record = StoredSession(session.tenant, session.name, session.role, session.secrets[:])
+            self._actions.append(Persist(session.id, "", record))
         else:
-            self._out.append(Keep(session.id, entry.id, KeptEntry(entry.text, entry.answer, entry.acked)))
+            self._actions.append(Persist(session.id, entry.id, StoredEntry(entry.text, entry.answer, entry.acked)))
 
     @property
     def sessions(self) -> int:
@@ -303,271 +314,305 @@
     @property
     def open_commands(self) -> int:
         """Commands submitted and not yet answered."""
-        return len(self._refs)
+        return len(self._submitted)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """What to do about an event, in order."""
-        self._now, self._out = now, []
+        self._now, self._actions = now, []
         match event:
-            case Opened(conn, address):
-                self._opened(conn, address)
-            case Received(conn, text):
-                if line := self._lines.get(conn):
-                    self._received(conn, line, text)
-            case Closed(conn):
-                self._closed(conn)
+            case Opened(conn_id, address):
+                self._opened(conn_id, address)
+            case Received(conn_id, text):
+                if connection := self._connections.get(conn_id):
+                    self._received(conn_id, connection, text)
+            case Closed(conn_id):
+                self._closed(conn_id)
             case Finished():
                 self._finished(event)
             case Attempted(ref, count):
-                if (found := self._refs.get(ref)) and found[0].conn is not None:
-                    self._out.append(Deliver(found[0].conn, ms.Progress(found[1].id, count)))
-            case HomeLost(conn):
-                if (line := self._lines.get(conn)) and line.token and line.resuming:
-                    self._orphan(conn, line, line.token, line.resuming)
+                if (found := self._submitted.get(ref)) and found[0].conn_id is not None:
+                    self._actions.append(Deliver(found[0].conn_id, messages.Progress(found[1].id, count)))
+            case HomeUnreachable(conn_id):
+                if (connection := self._connections.get(conn_id)) and connection.token and connection.resuming:
+                    self._replace_lost_session(conn_id, connection, connection.token, connection.resuming)
             case News(text):
                 for session in self._sessions.values():
-                    if session.following and session.conn is not None:
-                        self._out.append(Deliver(session.conn, ms.Report(text)))
+                    if session.following and session.conn_id is not None:
+                        self._actions.append(Deliver(session.conn_id, messages.Report(text)))
             case Tick():
                 self._tick()
-        return self._out
+        return self._actions
 
-    def _say(self, conn: int, message: ms.Outgoing) -> None:
-        self._out.append(Deliver(conn, message))
+    def _send(self, conn_id: int, message: messages.Outgoing) -> None:
+        self._actions.append(Deliver(conn_id, message))
 
-    def _shut(self, conn: int, code: int, reason: str) -> None:
-        self._out.append(Shut(conn, code, reason))
-        self._closed(conn)
+    def _disconnect(self, conn_id: int, code: int, reason: str) -> None:
+        self._actions.append(Disconnect(conn_id, code, reason))
+        self._closed(conn_id)
 
     # --- sockets ---
-    def _opened(self, conn: int, address: str) -> None:
+    def _opened(self, conn_id: int, address: str) -> None:
         held = self._addresses.get(address, 0)
-        if held >= self._s.per_address:
-            return self._out.append(Shut(conn, ms.CROWDED, "too many connections from this address"))
+        if held >= self._settings.per_address:
+            return self._actions.append(
+                Disconnect(conn_id, messages.LIMIT_REACHED, "too many connections from this address")
+            )
         self._addresses[address] = held + 1
         nonce = f"{self._rng.getrandbits(128):032x}"
-        self._lines[conn] = _Line(address, nonce, self._now)
-        self._say(conn, ms.Challenge(nonce))
+        self._connections[conn_id] = _Connection(address, nonce, self._now)
+        self._send(conn_id, messages.Challenge(nonce))
 
-    def _closed(self, conn: int) -> None:
-        line = self._lines.pop(conn, None)
-        if line is None:
+    def _closed(self, conn_id: int) -> None:
+        connection = self._connections.pop(conn_id, None)
+        if connection is None:
             return
-        self._addresses[line.address] -= 1
-        if not self._addresses[line.address]:
-            del self._addresses[line.address]
-        if (session := line.session) and session.conn == conn:
-            session.conn, session.detached, session.following = None, self._now, False
+        self._addresses[connection.address] -= 1
+        if not self._addresses[connection.address]:
+            del self._addresses[connection.address]
+        if (session := connection.session) and session.conn_id == conn_id:
+            session.conn_id, session.detached_at, session.following = None, self._now, False
 
     def _tick(self) -> None:
-        for conn, line in list(self._lines.items()):
-            if line.session is None and self._now - line.since >= self._s.hello_within:
-                self._shut(conn, ms.NO_HELLO, "no hello in time")
+        for conn_id, connection in list(self._connections.items()):
+            if connection.session is None and self._now - connection.opened_at >= self._settings.hello_within:
+                self._disconnect(conn_id, messages.NO_HELLO, "no hello in time")
         # one that has filled up again is as good as a new one, and tenants may be any name
-        self._buckets = {name: one for name, one in self._buckets.items() if not one.full(self._now)}
+        self._tenant_buckets = {
+            name: one for name, one in self._tenant_buckets.items() if not one.is_full(self._now)
+        }
         for session in list(self._sessions.values()):
-            if session.conn is None and self._now - session.detached >= self._s.resume_within:
+            if session.conn_id is None and self._now - session.detached_at >= self._settings.resume_within:
                 self.counts["expired"] += 1
-                self._forget(session)
+                self._remove_session(session)
 
-    def _forget(self, session: Session) -> None:
+    def _remove_session(self, session: Session) -> None:
         """The session is closed; commands that are out run on, their answers reach nobody."""
         del self._sessions[session.id]
-        if self._keeps:
-            self._out.append(Keep(session.id, "", None))
+        if self._persistent:
+            self._actions.append(Persist(session.id, "", None))
 
     # --- messages ---
-    def _received(self, conn: int, line: _Line, text: bytes) -> None:
+    def _received(self, conn_id: int, connection: _Connection, text: bytes) -> None:
         try:
-            message = ms.decode(text)
+            message = messages.decode(text)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            return self._say(conn, ms.Problem("bad_message", str(error)[:200]))
-        session = line.session
+            return self._send(conn_id, messages.Problem("bad_message", str(error)[:200]))
+        session = connection.session
         if session is None:
             match message:
-                case ms.Hello():
-                    return self._hello(conn, line, message)
-                case ms.ResumeHello():
-                    return self._resume(conn, line, message)
-            return self._say(conn, ms.Problem("no_session", "say hello first"))
-        if session.secrets != [line.secret]:  # the client has this connection's welcome
-            session.secrets = [line.secret]
+                case messages.Hello():
+                    return self._hello(conn_id, connection, message)
+                case messages.ResumeHello():
+                    return self._resume(conn_id, connection, message)
+            return self._send(conn_id, messages.Problem("no_session", "say hello first"))
+        if session.secrets != [connection.secret]:  # the client has this connection's welcome
+            session.secrets = [connection.secret]
             self._save(session)
         match message:
-            case ms.Command():
-                self._command(conn, session, message)
-            case ms.Ack(id):
+            case messages.Command():
+                self._command(conn_id, session, message)
+            case messages.Ack(id):
                 if (entry := session.entries.get(id)) and entry.answer:
                     entry.acked = True
                     self._save(session, entry)
-            case ms.Bye():
-                self._forget(session)
-                self._shut(conn, 1000, "bye")
+            case messages.Bye():
+                self._remove_session(session)
+                self._disconnect(conn_id, 1000, "bye")
             case _:
-                self._say(conn, ms.Problem("in_session", "this connection has its session"))
+                self._send(conn_id, messages.Problem("in_session", "this connection has its session"))
 
-    def _hello(self, conn: int, line: _Line, hello: ms.Hello) -> None:
-        proved = bool(hello.proof) and proves(
-            self._key, hello.proof, line.nonce, hello.role, hello.tenant, hello.name
+    def _hello(self, conn_id: int, connection: _Connection, hello: messages.Hello) -> None:
+        proved = bool(hello.proof) and verify_proof(
+            self._key, hello.proof, connection.nonce, hello.role, hello.tenant, hello.name
         )
-        if not proved and (hello.role != "player" or not self._s.anonymous or hello.proof):
-            self._say(conn, ms.Problem("bad_proof", "the proof does not fit this connection"))
-            return self._shut(conn, ms.BAD_HELLO, "bad proof")
+        if not proved and (hello.role != "player" or not self._settings.anonymous or hello.proof):
+            self._send(conn_id, messages.Problem("bad_proof", "the proof does not fit this connection"))
+            return self._disconnect(conn_id, messages.BAD_HELLO, "bad proof")
         if hello.role == "player" and self._tenants and hello.tenant not in self._tenants:
-            self._say(conn, ms.Problem("bad_tenant", "no such tenant"))
-            return self._shut(conn, ms.BAD_HELLO, "no such tenant")
-        self._begin(conn, line, hello.tenant, hello.name, hello.role)
-
-    def _begin(self, conn: int, line: _Line, tenant: str, name: str, role: Role) -> Session | None:
-        if len(self._sessions) >= self._s.max_sessions:
-            self._say(conn, ms.Problem("full", "no more sessions here"))
-            self._shut(conn, ms.CROWDED, "no more sessions here")
+            self._send(conn_id, messages.Problem("bad_tenant", "no such tenant"))
+            return self._disconnect(conn_id, messages.BAD_HELLO, "no such tenant")
+        self._create_session(conn_id, connection, hello.tenant, hello.name, hello.role)
+
+    def _create_session(
+        self, conn_id: int, connection: _Connection, tenant: str, name: str, role: Role
+    ) -> Session | None:
+        if len(self._sessions) >= self._settings.max_sessions:
+            self._send(conn_id, messages.Problem("full", "no more sessions here"))
+            self._disconnect(conn_id, messages.LIMIT_REACHED, "no more sessions here")
             return None
-        bucket = Bucket(self._s.session_rate, self._s.session_burst, self._s.session_burst, self._now)
+        bucket = TokenBucket(
+            self._settings.session_rate, self._settings.session_burst, self._settings.session_burst, self._now
+        )
         session = Session(self._rng.getrandbits(63), tenant, name, role, None, bucket)
         self._sessions[session.id] = session
-        self._attach(conn, line, session, resumed=False)
+        self._attach(conn_id, connection, session, resumed=False)
         return session
 
-    def _attach(self, conn: int, line: _Line, session: Session, resumed: bool) -> None:
-        line.session, session.conn, line.secret = session, conn, self._rng.getrandbits(63) + 1
+    def _attach(self, conn_id: int, connection: _Connection, session: Session, resumed: bool) -> None:
+        connection.session, session.conn_id, connection.secret = session, conn_id, self._rng.getrandbits(63) + 1
         # welcomes may be lost, and two returns at once may cross: which one the client has is not yet known
-        session.secrets = [*session.secrets[:1], *session.secrets[1:][2 - UNSHOWN :], line.secret]
+        session.secrets = [*session.secrets[:1], *session.secrets[1:][2 - MAX_VALID_TOKENS :], connection.secret]
         self._save(session)
-        token = seal(
+        token = encode_token(
             self._key,
-            Resume(self._me, self._life, session.id, line.secret, session.tenant, session.name, session.role),
+            ResumeToken(
+                self._agent_number,
+                self._incarnation,
+                session.id,
+                connection.secret,
+                session.tenant,
+                session.name,
+                session.role,
+            ),
+        )
+        self._send(
+            conn_id, messages.Welcome(token, resumed, int(self._settings.resume_within), self._settings.max_open)
         )
-        self._say(conn, ms.Welcome(token, resumed, int(self._s.resume_within), self._s.max_open))
 
     # --- coming back ---
-    def _resume(self, conn: int, line: _Line, message: ms.ResumeHello) -> None:
-        token = unseal(self._key, message.token)
-        if token is None or line.resuming:
-            self._say(conn, ms.Problem("bad_token", "this is no token of ours"))
-            return self._shut(conn, ms.BAD_TOKEN, "bad token")
-        if token.home != self._me:
-            line.resuming, line.token = message, token
-            return self._out.append(Relay(conn, token.home, msgspec.json.encode(message)))
-        session = self._sessions.get(token.session) if token.life == self._life else None
+    def _resume(self, conn_id: int, connection: _Connection, message: messages.ResumeHello) -> None:
+        token = decode_token(self._key, message.token)
+        if token is None or connection.resuming:
+            self._send(conn_id, messages.Problem("bad_token", "this is no token of ours"))
+            return self._disconnect(conn_id, messages.BAD_TOKEN, "bad token")
+        if token.home != self._agent_number:
+            connection.resuming, connection.token = message, token
+            return self._actions.append(Relay(conn_id, token.home, msgspec.json.encode(message)))
+        session = self._sessions.get(token.session) if token.incarnation == self._incarnation else None
         if session is None:
-            return self._orphan(conn, line, token, message)
+            return self._replace_lost_session(conn_id, connection, token, message)
         if token.secret not in session.secrets:
             if session.restored:  # given after the last record that lasted
-                return self._orphan(conn, line, token, message)
-            self._say(conn, ms.Problem("stale_token", "a later token was given"))
-            return self._shut(conn, ms.BAD_TOKEN, "stale token")
-        if session.conn is not None:  # the newest socket holds the session
-            old, session.conn = session.conn, None
-            self._lines[old].session = None
-            self._shut(old, ms.TAKEN_OVER, "resumed elsewhere")
+                return self._replace_lost_session(conn_id, connection, token, message)
+            self._send(conn_id, messages.Problem("stale_token", "a later token was given"))
+            return self._disconnect(conn_id, messages.BAD_TOKEN, "stale token")
+        if session.conn_id is not None:  # the newest socket holds the session
+            old, session.conn_id = session.conn_id, None
+            self._connections[old].session = None
+            self._disconnect(old, messages.TAKEN_OVER, "resumed elsewhere")
         self.counts["resumed"] += 1
-        self._attach(conn, line, session, resumed=True)
+        self._attach(conn_id, connection, session, resumed=True)
         for id in message.open if session.restored else ():
             if id not in session.entries and id not in session.retired:
-                session.entries[id] = Entry(id, "", ms.Answer(id, "unknown", RESTARTED))
+                session.entries[id] = Entry(id, "", messages.Answer(id, "unknown", RESTARTED_TEXT))
                 self.counts["unknown"] += 1
                 self._save(session, session.entries[id])
         for entry in session.entries.values():
             # an answer may have been shown whose record did not last: then the client does not ask for it
             if entry.answer and not entry.acked and (entry.answer.kind != "unknown" or entry.id in message.open):
-                self._say(conn, entry.answer)
+                self._send(conn_id, entry.answer)
         session.restored = False
         for id in message.open:  # sent on a socket that ended before they came: they never ran
             if id not in session.entries and id not in session.retired:
-                self._say(conn, ms.Problem("not_here", "this command never came; it may be sent again", id))
+                self._send(
+                    conn_id, messages.Problem("not_here", "this command never came; it may be sent again", id)
+                )
 
-    def _orphan(self, conn: int, line: _Line, token: Resume, message: ms.ResumeHello) -> None:
+    def _replace_lost_session(
+        self, conn_id: int, connection: _Connection, token: ResumeToken, message: messages.ResumeHello
+    ) -> None:
         """Nobody knows what became of the session's commands: say so, and never run them under their ids."""
-        session = self._begin(conn, line, token.tenant, token.name, token.role)
+        session = self._create_session(conn_id, connection, token.tenant, token.name, token.role)
         for id in message.open if session else ():
             assert session is not None
-            answer = ms.Answer(id, "unknown", "the agent that held this command is gone")
+            answer = messages.Answer(id, "unknown", "the agent that held this command is gone")
             session.entries[id] = Entry(id, "", answer)
             self._save(session, session.entries[id])
             self.counts["unknown"] += 1
-            self._say(conn, answer)
+            self._send(conn_id, answer)
 
     # --- commands ---
-    def _command(self, conn: int, session: Session, message: ms.Command) -> None:
+    def _command(self, conn_id: int, session: Session, message: messages.Command) -> None:
         id = message.id
         if entry := session.entries.get(id):  # the same id is the same command
             if entry.text and entry.text != message.text:
-                return self._say(conn, ms.Problem("other_command", "this id stands for another command", id))
-            return self._say(conn, entry.answer or ms.Accepted(id))
+                return self._send(
+                    conn_id, messages.Problem("other_command", "this id stands for another command", id)
+                )
+            return self._send(conn_id, entry.answer or messages.Accepted(id))
         if id in session.retired:
-            return self._say(conn, ms.Problem("already_answered", "its answer was acknowledged", id))
-        if not session.bucket.take(self._now):
-            return self._say(conn, ms.Problem("rate_session", "too many commands a second", id))
+            return self._send(conn_id, messages.Problem("already_answered", "its answer was acknowledged", id))
+        if not session.bucket.try_take(self._now):
+            return self._send(conn_id, messages.Problem("rate_session", "too many commands a second", id))
         try:
             typed = parse(message.text)
-        except Mistyped as error:
-            return self._say(conn, ms.Problem("bad_syntax", str(error), id))
+        except CommandSyntaxError as error:
+            return self._send(conn_id, messages.Problem("bad_syntax", str(error), id))
         if session.role == "operator":
-            return self._operator(conn, session, id, typed.name)
-        command = self._s.command.get(typed.name)
+            return self._operator(conn_id, session, id, typed.name)
+        command = self._settings.command.get(typed.name)
         if command is None:
-            known = ", ".join(f"/{name}" for name in self._s.command)
-            return self._say(conn, ms.Problem("unknown_command", f"there are {known}", id))
-        odd = [name for name, _ in typed.options if name not in command.options]
-        if odd or not command.least_words <= len(typed.words) <= command.most_words:
+            known = ", ".join(f"/{name}" for name in self._settings.command)
+            return self._send(conn_id, messages.Problem("unknown_command", f"there are {known}", id))
+        unknown_options = [name for name, _ in typed.options if name not in command.options]
+        if unknown_options or not command.least_words <= len(typed.arguments) <= command.most_words:
             allowed = f"{command.least_words} to {command.most_words} words, options {command.options}"
-            return self._say(conn, ms.Problem("bad_arguments", f"/{typed.name} takes {allowed}", id))
-        if (open := sum(entry.answer is None for entry in session.entries.values())) >= self._s.max_open:
-            return self._say(conn, ms.Problem("too_many_open", f"{open} commands are open", id))
-        if len(session.entries) >= self._s.max_kept and not self._make_room(session):
-            return self._say(conn, ms.Problem("unacknowledged", "acknowledge answers first", id))
-        bucket = self._buckets.setdefault(
-            session.tenant, Bucket(self._s.tenant_rate, self._s.tenant_burst, self._s.tenant_burst, self._now)
+            return self._send(conn_id, messages.Problem("bad_arguments", f"/{typed.name} takes {allowed}", id))
+        if (
+            open_count := sum(entry.answer is None for entry in session.entries.values())
+        ) >= self._settings.max_open:
+            return self._send(conn_id, messages.Problem("too_many_open", f"{open_count} commands are open", id))
+        if len(session.entries) >= self._settings.max_kept and not self._drop_acknowledged_entry(session):
+            return self._send(conn_id, messages.Problem("unacknowledged", "acknowledge answers first", id))
+        bucket = self._tenant_buckets.setdefault(
+            session.tenant,
+            TokenBucket(
+                self._settings.tenant_rate, self._settings.tenant_burst, self._settings.tenant_burst, self._now
+            ),
         )
-        if not bucket.take(self._now):
-            return self._say(conn, ms.Problem("rate_tenant", "too many commands of this tenant", id))
+        if not bucket.try_take(self._now):
+            return self._send(conn_id, messages.Problem("rate_tenant", "too many commands of this tenant", id))
         self._last_ref += 1
         entry = session.entries[id] = Entry(id, message.text)
-        self._refs[self._last_ref] = session, entry
+        self._submitted[self._last_ref] = session, entry
         self._save(session, entry)
         self.counts["accepted"] += 1
-        self._say(conn, ms.Accepted(id))
+        self._send(conn_id, messages.Accepted(id))
         body = msgspec.json.encode(
-            {"command": typed.name, "words": typed.words, "options": dict(typed.options), "player": session.name}
+            {
+                "command": typed.name,
+                "words": typed.arguments,
+                "options": dict(typed.options),
+                "player": session.name,
+            }
         )
-        key = f"{self._life:x}.{session.id:x}.{id}"
-        self._out.append(Submit(self._last_ref, command.class_, session.tenant, key, command.target, body))
+        key = f"{self._incarnation:x}.{session.id:x}.{id}"
+        self._actions.append(Submit(self._last_ref, command.class_, session.tenant, key, command.target, body))
 
-    def _make_room(self, session: Session) -> bool:
+    def _drop_acknowledged_entry(self, session: Session) -> bool:
         """Drop the oldest acknowledged answer; its id stays known as answered for long."""
         for id, entry in session.entries.items():
             if entry.acked:
                 del session.entries[id]
                 session.retired[id] = None
-                if self._keeps:
-                    self._out.append(Keep(session.id, id, KeptEntry("", None, True, True)))
-                if len(session.retired) > RETIRED * self._s.max_kept:
+                if self._persistent:
+                    self._actions.append(Persist(session.id, id, StoredEntry("", None, True, True)))
+                if len(session.retired) > RETIRED_IDS_PER_KEPT_ANSWER * self._settings.max_kept:
                     oldest, _ = session.retired.popitem(last=False)
-                    if self._keeps:
-                        self._out.append(Keep(session.id, oldest, None))
+                    if self._persistent:
+                        self._actions.append(Persist(session.id, oldest, None))
                 return True
         return False
 
-    def _operator(self, conn: int, session: Session, id: str, name: str) -> None:
+    def _operator(self, conn_id: int, session: Session, id: str, name: str) -> None:
         if name == "status" or name == "votes":
-            return self._out.append(Query(conn, id, name))  # type: ignore[arg-type]
+            return self._actions.append(Query(conn_id, id, name))  # type: ignore[arg-type]
         if name == "follow":
             session.following = True
-            return self._say(conn, ms.Report("following", id))
-        self._say(conn, ms.Problem("unknown_command", f"operators have {HELP}", id))
+            return self._send(conn_id, messages.Report("following", id))
+        self._send(conn_id, messages.Problem("unknown_command", f"operators have {OPERATOR_COMMANDS}", id))
 
     def _finished(self, event: Finished) -> None:
-        found = self._refs.pop(event.ref, None)
+        found = self._submitted.pop(event.ref, None)
         if found is None:
             return
         session, entry = found
-        entry.answer = ms.Answer(entry.id, event.kind, event.text, int(event.retry_after_ms))
+        entry.answer = messages.Answer(entry.id, event.kind, event.text, int(event.retry_after_ms))
         self.counts["answered"] += 1
         if session.id not in self._sessions:
             self.counts["dropped"] += 1
             return
         self._save(session, entry)
-        if session.conn is None:
+        if session.conn_id is None:
             return
-        self._say(session.conn, entry.answer)
+        self._send(session.conn_id, entry.answer)
--- a/otterquay/chat/ledger.py
+++ b/otterquay/chat/ledger.py
@@ -9,11 +9,11 @@
 
 import msgspec
 
-from otterquay.chat.hub import Keep, KeptEntry, KeptSession, Recalled
+from otterquay.chat.hub import Persist, StoredEntry, StoredSession, StoredSessions
 from otterquay.logs import Logger
 from otterquay.store import Change, Delete, Put, Store
 
-LIFE, SESSIONS, ENTRIES = "chat", "chat.session", "chat.entry"
+INCARNATION_TABLE, SESSION_TABLE, ENTRY_TABLE = "chat", "chat.session", "chat.entry"
 
 
 class Ledger:
@@ -22,41 +22,41 @@
     def __init__(self, store: Store, log: Logger) -> None:
         self._store, self._log = store, log
 
-    def recall(self, fresh: int) -> Recalled:
+    def load(self, new_incarnation: int) -> StoredSessions:
         """What was kept, with the life that its tokens name; `fresh` is that of a hub that begins with nothing."""
         try:
-            life = self._store.get(LIFE, b"life")
-            if life is None:
-                self._store.submit([Put(LIFE, b"life", fresh.to_bytes(8))])
-                return Recalled(fresh, {})
-            sessions: dict[int, tuple[KeptSession, dict[str, KeptEntry]]] = {}
-            for key, value in self._store.scan(SESSIONS):
-                sessions[int.from_bytes(key)] = msgspec.msgpack.decode(value, type=KeptSession), {}
-            for key, value in self._store.scan(ENTRIES):
+            incarnation = self._store.get(INCARNATION_TABLE, b"life")
+            if incarnation is None:
+                self._store.submit([Put(INCARNATION_TABLE, b"life", new_incarnation.to_bytes(8))])
+                return StoredSessions(new_incarnation, {})
+            sessions: dict[int, tuple[StoredSession, dict[str, StoredEntry]]] = {}
+            for key, value in self._store.scan(SESSION_TABLE):
+                sessions[int.from_bytes(key)] = msgspec.msgpack.decode(value, type=StoredSession), {}
+            for key, value in self._store.scan(ENTRY_TABLE):
                 if found := sessions.get(int.from_bytes(key[:8])):
-                    found[1][key[8:].decode()] = msgspec.msgpack.decode(value, type=KeptEntry)
-            return Recalled(int.from_bytes(life), sessions)
+                    found[1][key[8:].decode()] = msgspec.msgpack.decode(value, type=StoredEntry)
+            return StoredSessions(int.from_bytes(incarnation), sessions)
         except Exception as error:  # without it all tokens are orphans, as without a store
             self._log.warning("chat_recall_failed", reason=f"{type(error).__name__}: {error}")
-            return Recalled(fresh, {})
+            return StoredSessions(new_incarnation, {})
 
-    def keep(self, action: Keep) -> None:
+    def keep(self, action: Persist) -> None:
         """Write a record, or remove one."""
         at = action.session.to_bytes(8)
         changes: list[Change]
         match action.record:
-            case KeptSession():
-                changes = [Put(SESSIONS, at, msgspec.msgpack.encode(action.record))]
-            case KeptEntry():
-                changes = [Put(ENTRIES, at + action.id.encode(), msgspec.msgpack.encode(action.record))]
+            case StoredSession():
+                changes = [Put(SESSION_TABLE, at, msgspec.msgpack.encode(action.record))]
+            case StoredEntry():
+                changes = [Put(ENTRY_TABLE, at + action.id.encode(), msgspec.msgpack.encode(action.record))]
             case None if action.id:
-                changes = [Delete(ENTRIES, at + action.id.encode())]
+                changes = [Delete(ENTRY_TABLE, at + action.id.encode())]
             case None:
                 changes = [
-                    Delete(SESSIONS, at),
+                    Delete(SESSION_TABLE, at),
                     *(
-                        Delete(ENTRIES, key)
-                        for key, _ in self._store.scan(ENTRIES, at, (action.session + 1).to_bytes(8))
+                        Delete(ENTRY_TABLE, key)
+                        for key, _ in self._store.scan(ENTRY_TABLE, at, (action.session + 1).to_bytes(8))
                     ),
                 ]
         self._store.submit(changes)
--- a/otterquay/chat/messages.py
+++ b/otterquay/chat/messages.py
@@ -14,14 +14,22 @@
 Short = Annotated[str, Meta(max_length=256)]
 
 # close codes of our own (RFC 6455 section 7.4.2)
-BAD_HELLO, TAKEN_OVER, BAD_TOKEN, TOO_SLOW, CROWDED, NO_HELLO, SILENT = 4001, 4002, 4003, 4004, 4005, 4008, 4009
-
-
-class _In(msgspec.Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
+BAD_HELLO, TAKEN_OVER, BAD_TOKEN, TOO_SLOW, LIMIT_REACHED, NO_HELLO, SILENT = (
+    4001,
+    4002,
+    4003,
+    4004,
+    4005,
+    4008,
+    4009,
+)
+
+
+class _ClientMessage(msgspec.Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
     pass
 
 
-class Hello(_In, frozen=True, tag="hello"):
+class Hello(_ClientMessage, frozen=True, tag="hello"):
     """Begin a session; `proof` as in chat.tokens.proof, over the nonce of the challenge."""
 
     name: Name
@@ -30,44 +38,44 @@
     proof: Short = ""
 
 
-class ResumeHello(_In, frozen=True, tag="resume"):
+class ResumeHello(_ClientMessage, frozen=True, tag="resume"):
     """Come back to a session; `open` are the commands whose answers the client still waits for."""
 
     token: Annotated[str, Meta(max_length=1024)]
     open: Annotated[list[Id], Meta(max_length=256)] = []
 
 
-class Command(_In, frozen=True, tag="command"):
+class Command(_ClientMessage, frozen=True, tag="command"):
     """A command; the same id is the same command, however often it comes."""
 
     id: Id
     text: Annotated[str, Meta(max_length=4000)]
 
 
-class Ack(_In, frozen=True, tag="ack"):
+class Ack(_ClientMessage, frozen=True, tag="ack"):
     """The client has the final answer; it is not sent again."""
 
     id: Id
 
 
-class Bye(_In, frozen=True, tag="bye"):
+class Bye(_ClientMessage, frozen=True, tag="bye"):
     """The client ends its session; what is open runs on, its answers are dropped."""
 
 
 Incoming = Hello | ResumeHello | Command | Ack | Bye
 
 
-class _Out(msgspec.Struct, frozen=True, tag_field="type", omit_defaults=True):
+class _ServerMessage(msgspec.Struct, frozen=True, tag_field="type", omit_defaults=True):
     pass
 
 
-class Challenge(_Out, frozen=True, tag="challenge"):
+class Challenge(_ServerMessage, frozen=True, tag="challenge"):
     """The first word on a connection."""
 
     nonce: str
 
 
-class Welcome(_Out, frozen=True, tag="welcome"):
+class Welcome(_ServerMessage, frozen=True, tag="welcome"):
     """The session is there; the token of the last welcome resumes it."""
 
     token: str
@@ -76,20 +84,20 @@
     max_open: int
 
 
-class Accepted(_Out, frozen=True, tag="accepted"):
+class Accepted(_ServerMessage, frozen=True, tag="accepted"):
     """The command will get one final answer."""
 
     id: str
 
 
-class Progress(_Out, frozen=True, tag="progress"):
+class Progress(_ServerMessage, frozen=True, tag="progress"):
     """An attempt for the command has been sent."""
 
     id: str
     attempt: int
 
 
-class Answer(_Out, frozen=True, tag="answer"):
+class Answer(_ServerMessage, frozen=True, tag="answer"):
     """The final answer. `refused`: repeating is harmless; `failed`: no promise; `unknown`: nobody here knows."""
 
     id: str
@@ -98,7 +106,7 @@
     retry_after_ms: int = 0
 
 
-class Problem(_Out, frozen=True, tag="error"):
+class Problem(_ServerMessage, frozen=True, tag="error"):
     """What was sent was not taken; a command named here has not run."""
 
     code: str
@@ -106,7 +114,7 @@
     id: str = ""
 
 
-class Report(_Out, frozen=True, tag="report"):
+class Report(_ServerMessage, frozen=True, tag="report"):
     """The answer to an operator's question, or news that an operator follows."""
 
     text: str
--- a/otterquay/chat/tokens.py
+++ b/otterquay/chat/tokens.py
@@ -15,17 +15,17 @@
 import msgspec
 from blake3 import blake3
 
-MAC_SIZE = 16
-TOKEN_MOST = 1024
+MAC_BYTES = 16
+MAX_TOKEN_CHARS = 1024
 
 Role = Literal["player", "operator"]
 
 
-class Resume(msgspec.Struct, frozen=True, array_like=True):
+class ResumeToken(msgspec.Struct, frozen=True, array_like=True):
     """What a resume token says."""
 
     home: int
-    life: int
+    incarnation: int
     session: int
     secret: int
     tenant: str
@@ -34,7 +34,7 @@
 
 
 def _mac(key: bytes, purpose: bytes, data: bytes) -> bytes:
-    return blake3(purpose + b"\0" + data, key=key).digest(length=MAC_SIZE)
+    return blake3(purpose + b"\0" + data, key=key).digest(length=MAC_BYTES)
 
 
 def proof(key: bytes, nonce: str, role: Role, tenant: str, name: str) -> str:
@@ -42,26 +42,26 @@
     return _mac(key, b"proof", msgspec.msgpack.encode((nonce, role, tenant, name))).hex()
 
 
-def proves(key: bytes, shown: str, nonce: str, role: Role, tenant: str, name: str) -> bool:
+def verify_proof(key: bytes, presented: str, nonce: str, role: Role, tenant: str, name: str) -> bool:
     """Whether a proof is right; takes as long for a wrong one."""
-    return hmac.compare_digest(shown.encode(), proof(key, nonce, role, tenant, name).encode())
+    return hmac.compare_digest(presented.encode(), proof(key, nonce, role, tenant, name).encode())
 
 
-def seal(key: bytes, resume: Resume) -> str:
+def encode_token(key: bytes, resume: ResumeToken) -> str:
     """A resume token as text that fits a URL."""
     data = msgspec.msgpack.encode(resume)
     return base64.urlsafe_b64encode(_mac(key, b"resume", data) + data).decode().rstrip("=")
 
 
-def unseal(key: bytes, token: str) -> Resume | None:
+def decode_token(key: bytes, token: str) -> ResumeToken | None:
     """What a token says, or None for one that is forged or malformed."""
-    if len(token) > TOKEN_MOST:
+    if len(token) > MAX_TOKEN_CHARS:
         return None
     try:
         raw = base64.b64decode(token + "=" * (-len(token) % 4), altchars=b"-_", validate=True)
-        data = raw[MAC_SIZE:]
-        if not hmac.compare_digest(raw[:MAC_SIZE], _mac(key, b"resume", data)):
+        data = raw[MAC_BYTES:]
+        if not hmac.compare_digest(raw[:MAC_BYTES], _mac(key, b"resume", data)):
             return None
-        return msgspec.msgpack.decode(data, type=Resume)
+        return msgspec.msgpack.decode(data, type=ResumeToken)
     except (binascii.Error, ValueError, msgspec.MsgspecError):
         return None
--- a/otterquay/cli/chat.py
+++ b/otterquay/cli/chat.py
@@ -10,23 +10,23 @@
 import click
 import msgspec
 
-from otterquay.chat.gateway import Wire, dial
+from otterquay.chat.gateway import WebSocket, dial
 from otterquay.chat.tokens import proof
 
 EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
 async def _run_session(address: str, name: str, tenant: str, operator: bool, key: bytes | None) -> None:
-    wire = await dial(address)
+    websocket = await dial(address)
     lines = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(lines), sys.stdin)
 
     def send(**message: object) -> None:
-        wire.send(msgspec.json.encode(message))
+        websocket.send(msgspec.json.encode(message))
 
-    async def receive_messages(wire: Wire) -> None:
+    async def receive_messages(websocket: WebSocket) -> None:
         while True:
-            for text in wire.messages():
+            for text in websocket.messages():
                 message = msgspec.json.decode(text)
                 message_type = message.pop("type")
                 if message_type == "challenge":
@@ -39,10 +39,10 @@
                     click.echo(f"{message_type}: " + " ".join(f"{k}={v}" for k, v in message.items()))
                     if message_type == "answer":
                         send(type="ack", id=message["id"])
-            if not await wire.receive():
-                click.echo(f"closed: {wire.protocol.close_code} {wire.protocol.close_reason or ''}")
+            if not await websocket.receive():
+                click.echo(f"closed: {websocket.protocol.close_code} {websocket.protocol.close_reason or ''}")
                 return
-            wire.flush()
+            websocket.flush()
 
     async def send_typed_lines() -> None:
         number = 0
@@ -50,9 +50,9 @@
             number += 1
             send(type="command", id=f"typed-{number}", text=line)
         await asyncio.sleep(1.0)  # time for the last answers
-        wire.close(1000, "")
+        websocket.close(1000, "")
 
-    receiver, sender = asyncio.create_task(receive_messages(wire)), asyncio.create_task(send_typed_lines())
+    receiver, sender = asyncio.create_task(receive_messages(websocket)), asyncio.create_task(send_typed_lines())
     await receiver
     sender.cancel()
 
--- a/otterquay/cli/lab.py
+++ b/otterquay/cli/lab.py
@@ -165,10 +165,10 @@
         day = day.model_copy(update={"duration": seconds * 1e3})
     with tempfile.TemporaryDirectory(prefix="otterquay-chat-") as folder:
         hosts = inside(service) if one_process else processes(file.parent / day.service, Path(folder))
-        world = ChatWorld(day, service, seed, hosts, people=people, pause_s=pause, fault_share=faults)
+        world = ChatWorld(day, service, seed, hosts, client_count=people, pause_s=pause, fault_share=faults)
         asyncio.run(world.run())
     findings = judge(world.tape, unsafe_commands(service))
-    waits = sorted(wait * 1e3 for chatter in world.chatters for wait in chatter.waits)
+    waits = sorted(wait * 1e3 for chat_client in world.chat_clients for wait in chat_client.waits)
     if waits:
         findings["wait_ms"] = {
             f"p{q * 100:g}": round(waits[min(len(waits) - 1, int(q * len(waits)))], 1) for q in (0.5, 0.9, 0.99)
--- a/otterquay/lab/chat.py
+++ b/otterquay/lab/chat.py
@@ -19,20 +19,20 @@
 class ChatWorld(World):
     """A world whose traffic types. `clients` people in all, each `pause_s` apart."""
 
-    people: int = 200
+    client_count: int = 200
     pause_s: float = 1.0
     fault_share: float = 0.3
     patience_s: float = 5.0  # past the longest deadline, how long clients wait for what is open
-    chatters: list[Chatter] = field(default_factory=list)
+    chat_clients: list[Chatter] = field(default_factory=list)
 
     async def _traffic(self) -> None:
         assert self.service.chat
         loop, rng = asyncio.get_running_loop(), random.Random(self.seed + 2)
         tenants = [(n, t.share) for n, t in self.service.tenant.items()] or [("", 1.0)]
-        for number in range(self.people):
+        for number in range(self.client_count):
             tenant = rng.choices([n for n, _ in tenants], [s for _, s in tenants])[0]
             own = random.Random(rng.getrandbits(64))
-            self.chatters.append(
+            self.chat_clients.append(
                 Chatter(
                     number,
                     self.tape,
@@ -46,7 +46,7 @@
             )
         patience = max(c.deadline for c in self.service.class_.values()) / 1e3 + self.patience_s
         until = loop.time() + self.day.duration / 1e3
-        await asyncio.gather(*(c.run(until, self.pause_s, patience) for c in self.chatters))
+        await asyncio.gather(*(c.run(until, self.pause_s, patience) for c in self.chat_clients))
 
 
 @dataclass(slots=True)
--- a/otterquay/standins/chat.py
+++ b/otterquay/standins/chat.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from otterquay.chat.gateway import Wire, dial
+from otterquay.chat.gateway import WebSocket, dial
 from otterquay.standins.tape import Resumed, Tape, Told, Typed
 
 FAULTS = ("drop_at_once", "drop_after", "drop_and_twice", "elsewhere", "again", "stall", "none")
@@ -29,7 +29,7 @@
     commands: Sequence[str]
     fault_share: float
     at: int = 0
-    wire: Wire | None = None
+    websocket: WebSocket | None = None
     token: str = ""
     welcomed: bool = False
     open: dict[str, str] = field(default_factory=dict)  # op: text, until its answer has come
@@ -45,7 +45,7 @@
         self.at = self.rng.randrange(len(self.agents))
         next_at = loop.time() + self.rng.uniform(0, pause_s)
         while loop.time() < until or (self.open and loop.time() < until + patience_s):
-            if self.wire is None and not await self._connect():
+            if self.websocket is None and not await self._connect():
                 await asyncio.sleep(self.rng.uniform(0.05, 0.3))
                 self.at = self.rng.randrange(len(self.agents))
                 continue
@@ -58,23 +58,23 @@
         self._drop()
 
     def _drop(self) -> None:
-        if self.wire:
-            self.wire.writer.transport.abort()
-        self.wire, self.welcomed = None, False
+        if self.websocket:
+            self.websocket.writer.transport.abort()
+        self.websocket, self.welcomed = None, False
 
     async def _connect(self) -> bool:
         if self.at not in self.up:
             return False
         try:
             async with asyncio.timeout(3):
-                self.wire = await dial(self.agents[str(self.at)])
+                self.websocket = await dial(self.agents[str(self.at)])
         except (OSError, TimeoutError):
             return False
         return True
 
     def _send(self, **message: Any) -> None:
-        if self.wire:
-            self.wire.send(msgspec.json.encode(message))
+        if self.websocket:
+            self.websocket.send(msgspec.json.encode(message))
 
     async def _type(self) -> None:
         self._typed += 1
@@ -107,7 +107,7 @@
             )
             if self.token and await twin._connect():  # a twin with the same token at the same time
                 asyncio.get_running_loop().call_later(0.1, twin._drop)
-                self._twin = twin.wire
+                self._twin = twin.websocket
                 twin._send(type="resume", token=self.token, open=list(self.open))
         elif fault == "elsewhere":
             self._drop()
@@ -117,24 +117,24 @@
         elif fault == "stall":
             self._stalled_until = loop.time() + self.rng.uniform(0.1, 0.5)
 
-    _twin: Wire | None = None
+    _twin: WebSocket | None = None
 
     async def _pump(self, due: float) -> None:
         """Take what comes until `due`."""
-        loop, wire = asyncio.get_running_loop(), self.wire
+        loop, websocket = asyncio.get_running_loop(), self.websocket
         if self._stalled_until > loop.time():
             return await asyncio.sleep(min(due, self._stalled_until) - loop.time())
-        if wire is None:
+        if websocket is None:
             return
         try:
-            for text in wire.messages():
+            for text in websocket.messages():
                 self._take(msgspec.json.decode(text))
             async with asyncio.timeout_at(due):
-                if not await wire.receive():
+                if not await websocket.receive():
                     return self._drop()
-            for text in wire.messages():
+            for text in websocket.messages():
                 self._take(msgspec.json.decode(text))
-            wire.flush()
+            websocket.flush()
         except TimeoutError:
             return
         except OSError:
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -19,8 +19,8 @@
 from rig import Rig, right, run, silent_server
 
 from otterquay import interface as it
-from otterquay.chat import messages as ms
-from otterquay.chat.gateway import Wire, dial
+from otterquay.chat import messages
+from otterquay.chat.gateway import WebSocket, dial
 from otterquay.chat.tokens import proof
 from otterquay.config import load_service
 from otterquay.lab.ports import claim_ports
@@ -56,7 +56,7 @@
     def chat_at(self) -> str:
         return "{}:{}".format(*self.runtime.chat_bound)
 
-    async def enter(self, **hello: Any) -> Talk:
+    async def open_session(self, **hello: Any) -> Talk:
         """A client with a session."""
         talk = Talk(await dial(self.chat_at))
         assert (await talk.next())["type"] == "challenge"
@@ -76,24 +76,24 @@
 class Talk:
     """A client's side of one socket."""
 
-    def __init__(self, wire: Wire) -> None:
-        self.wire, self.got, self.welcome = wire, list[dict[str, Any]](), dict[str, Any]()
+    def __init__(self, websocket: WebSocket) -> None:
+        self.websocket, self.got, self.welcome = websocket, list[dict[str, Any]](), dict[str, Any]()
 
     def send(self, **message: Any) -> None:
-        self.wire.send(json.dumps(message).encode())
+        self.websocket.send(json.dumps(message).encode())
 
     async def next(self, kind: str = "") -> dict[str, Any]:
         """The next message, of a kind if one is named."""
         async with asyncio.timeout(20):
             while True:
-                self.got += [json.loads(m) for m in self.wire.messages()]
+                self.got += [json.loads(m) for m in self.websocket.messages()]
                 while self.got:
                     message = self.got.pop(0)
                     if not kind or message["type"] == kind:
                         return message
-                if not await self.wire.receive():
-                    raise ConnectionError(f"closed with {self.wire.protocol.close_code}")
-                self.wire.flush()
+                if not await self.websocket.receive():
+                    raise ConnectionError(f"closed with {self.websocket.protocol.close_code}")
+                self.websocket.flush()
 
     async def code(self) -> int | None:
         """The close code, once closed."""
@@ -101,13 +101,13 @@
             while True:
                 await self.next()
         except ConnectionError:
-            return self.wire.protocol.close_code
+            return self.websocket.protocol.close_code
 
 
 def test_a_typed_command_reaches_a_matchmaker_and_its_answer_the_player() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
-            talk = await rig.enter()
+            talk = await rig.open_session()
             talk.send(type="command", id="c1", text="/join cup --car=9")
             found = [await talk.next() for _ in range(3)]
             assert [m["type"] for m in found] == ["accepted", "progress", "answer"]
@@ -126,10 +126,10 @@
             held: list[Any] = []
             for server in rig.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await rig.enter()
+            talk = await rig.open_session()
             talk.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: held)
-            talk.wire.writer.transport.abort()
+            talk.websocket.writer.transport.abort()
             again = await rig.back(talk, "e1")
             again.send(type="command", id="e1", text="/entry cup")
             assert (await again.next())["type"] == "accepted"
@@ -146,7 +146,7 @@
         async with ChatRig() as rig:
             for server in rig.servers:
                 server.behave = silent_server
-            talk = await rig.enter()
+            talk = await rig.open_session()
             talk.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: any(s.got for s in rig.servers))
             rig.runtime.gateway.abort()  # type: ignore[union-attr]
@@ -175,11 +175,11 @@
             held: list[Any] = []
             for server in home.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await home.enter()
+            talk = await home.open_session()
             talk.send(type="command", id="e1", text="/entry cup")
             await home.until(lambda: held)
             again = await other.back(talk, "e1")  # while the first socket still waits
-            assert again.welcome["resumed"] and await talk.code() == ms.TAKEN_OVER
+            assert again.welcome["resumed"] and await talk.code() == messages.TAKEN_OVER
             right(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             again.send(type="command", id="l1", text="/lobby")
@@ -197,21 +197,21 @@
 def test_a_reader_that_stops_is_cut_off_keeps_its_session_and_holds_up_nobody() -> None:
     async def work() -> None:
         async with ChatRig(max_unsent=20000, session_rate=1e6, session_burst=1e6, max_open=1000) as rig:
-            talk, other = await rig.enter(), await rig.enter(name="q")
-            talk.wire.writer.transport.pause_reading()
-            near = talk.wire.writer.get_extra_info("socket")
+            talk, other = await rig.open_session(), await rig.open_session(name="q")
+            talk.websocket.writer.transport.pause_reading()
+            near = talk.websocket.writer.get_extra_info("socket")
             near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            for wire in rig.runtime.gateway._wires.values():  # type: ignore[union-attr]
-                wire.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            for websocket in rig.runtime.gateway._websockets.values():  # type: ignore[union-attr]
+                websocket.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             lost = False
             for i in range(20000):
                 talk.send(type="command", id=f"x{i}", text="/dance " + "x" * 50)
                 if i % 200 == 0:
                     await asyncio.sleep(0)
-                if len(rig.runtime.gateway._wires) == 1:  # type: ignore[union-attr]
+                if len(rig.runtime.gateway._websockets) == 1:  # type: ignore[union-attr]
                     lost = True
                     break
-            await rig.until(lambda: lost or len(rig.runtime.gateway._wires) == 1)  # type: ignore[union-attr]
+            await rig.until(lambda: lost or len(rig.runtime.gateway._websockets) == 1)  # type: ignore[union-attr]
             other.send(type="command", id="l1", text="/lobby")
             assert (await other.next("answer"))["kind"] == "served"
             again = await rig.back(talk)
@@ -223,15 +223,15 @@
 def test_silent_sockets_are_pinged_and_dead_ones_dropped() -> None:
     async def work() -> None:
         async with ChatRig(ping_every=100.0) as rig:
-            live, dead = await rig.enter(), await rig.enter(name="q")
+            live, dead = await rig.open_session(), await rig.open_session(name="q")
             live.send(type="command", id="l1", text="/lobby")
             assert (await live.next("answer"))["kind"] == "served"
             waiting = asyncio.ensure_future(live.next())  # reads, so that its library answers pings
-            await rig.until(lambda: len(rig.runtime.gateway._wires) == 1)  # type: ignore[union-attr]
+            await rig.until(lambda: len(rig.runtime.gateway._websockets) == 1)  # type: ignore[union-attr]
             await asyncio.sleep(0.4)
-            assert not waiting.done() and len(rig.runtime.gateway._wires) == 1  # type: ignore[union-attr]
+            assert not waiting.done() and len(rig.runtime.gateway._websockets) == 1  # type: ignore[union-attr]
             waiting.cancel()
-            assert dead.wire
+            assert dead.websocket
 
     run(work)
 
@@ -262,7 +262,7 @@
             held: list[Any] = []
             for server in rig.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await rig.enter()
+            talk = await rig.open_session()
             talk.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: held)
             stopping = asyncio.ensure_future(rig.runtime.stop())
@@ -339,7 +339,7 @@
 }
 
 
-async def shake(at: str, *extra: str, subprotocol: str | None = ms.SUBPROTOCOL) -> tuple[Any, Any, bytes]:
+async def shake(at: str, *extra: str, subprotocol: str | None = messages.SUBPROTOCOL) -> tuple[Any, Any, bytes]:
     reader, writer = await asyncio.open_connection(*at.split(":"))
     lines = [
         "GET / HTTP/1.1",
@@ -385,7 +385,7 @@
                 found[name] = (await outcome(reader))[0]
                 writer.close()
             assert found == {name: expected for name, (_, expected) in CASES.items()}
-            talk = await rig.enter()
+            talk = await rig.open_session()
             talk.send(type="command", id="l1", text="/lobby")
             assert (await talk.next("answer"))["kind"] == "served"
 
@@ -411,7 +411,7 @@
                     with contextlib.suppress(ConnectionResetError):
                         assert b" 101 " not in await reader.read()
                 writer.close()
-            assert (await rig.enter()).welcome["type"] == WELCOME
+            assert (await rig.open_session()).welcome["type"] == WELCOME
 
     run(work)
 
@@ -439,7 +439,7 @@
             reader, writer, _ = await shake(rig.chat_at, offer)
             writer.write(frame(TEXT, b"\xff" * 40, rsv=4))
             assert (await outcome(reader))[0] in (1002, 1007)
-            assert (await rig.enter()).welcome["type"] == WELCOME
+            assert (await rig.open_session()).welcome["type"] == WELCOME
 
     run(work)
 
@@ -474,17 +474,17 @@
             return False
 
     protocol = ServerProtocol(max_size=4096, state=gw.State.OPEN)
-    wire = Wire(None, Silent(), protocol)  # type: ignore[arg-type]
+    websocket = WebSocket(None, Silent(), protocol)  # type: ignore[arg-type]
     data = b"".join(frame(op, body, fin, rsv) for op, body, fin, rsv in frames)
     data = data[:cut] if rng.random() < 0.5 else data
     while data:
         step = rng.randint(1, len(data))
         protocol.receive_data(data[:step])
         data = data[step:]
-        for text in wire.messages():
+        for text in websocket.messages():
             assert len(text) <= 4096
             text.decode()
-        wire.flush()
+        websocket.flush()
 
 
 CORPUS = Path(__file__).parent / "corpus" / "chat"
@@ -492,14 +492,14 @@
 
 @pytest.mark.parametrize("path", sorted(CORPUS.glob("*")), ids=lambda p: p.name)
 def test_the_corpus_of_hostile_messages(path: Path) -> None:
-    from test_chat_hub import Desk, code
+    from test_chat_hub import HubHarness, code
 
-    from otterquay.chat import hub as hb
+    from otterquay.chat import hub as chat_hub
 
-    desk = Desk()
-    conn = desk.enter()
-    desk.give(hb.Received(conn, path.read_bytes()))
-    assert code(desk.told[conn]) or isinstance(desk.told[conn][-1], ms.Accepted | ms.Welcome)
+    harness = HubHarness()
+    conn = harness.open_session()
+    harness.handle(chat_hub.Received(conn, path.read_bytes()))
+    assert code(harness.told[conn]) or isinstance(harness.told[conn][-1], messages.Accepted | messages.Welcome)
 
 
 def test_the_corpus_is_there() -> None:
--- a/tests/test_chat_night.py
+++ b/tests/test_chat_night.py
@@ -12,8 +12,8 @@
 from rig import EXAMPLE, run
 
 from otterquay import interface as it
-from otterquay.chat import hub as hb
-from otterquay.chat import messages as ms
+from otterquay.chat import hub as chat_hub
+from otterquay.chat import messages
 from otterquay.lab.chat import ChatWorld, judge, unsafe_commands
 from otterquay.lab.day import FaultPlan, load_day
 from otterquay.lab.disk import FaultDisk
@@ -63,47 +63,51 @@
     """On simulated time, as the share served is not to hang on what else the machine does."""
     day, service = load_day(NIGHT)
     day = day.model_copy(update={"duration": 5000.0})
-    world = ChatWorld(day, service, seed, simulated(service, seed), people=200)
+    world = ChatWorld(day, service, seed, simulated(service, seed), client_count=200)
     simulate(world.run(), seed)
     found = judge(world.tape, unsafe_commands(service))
     assert found["violations"] == [] and found["resumed"] > 50 and found["entry_spends"] > 150
     assert found["answered_served"] > 0.9 * found["commands"] > 450
 
 
-class ForgetsIds(hb.Hub):
+class ForgetsIds(chat_hub.Hub):
     """Takes an id sent again for a new command."""
 
-    def _command(self, conn: int, session: hb.Session, message: ms.Command) -> None:
+    def _command(self, conn_id: int, session: chat_hub.Session, message: messages.Command) -> None:
         session.entries.pop(message.id, None)
-        super()._command(conn, session, message)
+        super()._command(conn_id, session, message)
 
 
-class KeepsNoAnswers(hb.Hub):
+class KeepsNoAnswers(chat_hub.Hub):
     """Tells an answer to the socket that is there, or to nobody."""
 
-    def _finished(self, event: hb.Finished) -> None:
-        if found := self._refs.get(event.ref):
+    def _finished(self, event: chat_hub.Finished) -> None:
+        if found := self._submitted.get(event.ref):
             session, entry = found
-            lost = session.conn is None
+            lost = session.conn_id is None
             super()._finished(event)
             if lost:
                 entry.acked = True
 
 
-class SilentOnLoss(hb.Hub):
+class SilentOnLoss(chat_hub.Hub):
     """Says nothing of commands that went with an agent."""
 
-    def _orphan(self, conn: int, line: Any, token: Any, message: ms.ResumeHello) -> None:
-        super()._orphan(conn, line, token, ms.ResumeHello(message.token, []))
+    def _replace_lost_session(
+        self, conn_id: int, connection: Any, token: Any, message: messages.ResumeHello
+    ) -> None:
+        super()._replace_lost_session(conn_id, connection, token, messages.ResumeHello(message.token, []))
 
 
-class RunsAgain(hb.Hub):
+class RunsAgain(chat_hub.Hub):
     """Takes what went with an agent for never run."""
 
-    def _orphan(self, conn: int, line: Any, token: Any, message: ms.ResumeHello) -> None:
-        session = self._begin(conn, line, token.tenant, token.name, token.role)
+    def _replace_lost_session(
+        self, conn_id: int, connection: Any, token: Any, message: messages.ResumeHello
+    ) -> None:
+        session = self._create_session(conn_id, connection, token.tenant, token.name, token.role)
         for id in message.open if session else ():
-            self._say(conn, ms.Problem("not_here", "", id))
+            self._send(conn_id, messages.Problem("not_here", "", id))
 
 
 class AllAreSafe(Agent):
@@ -115,12 +119,12 @@
 
 
 GUARDS: dict[str, tuple[Any, Any, str]] = {
-    "whole": (hb.Hub, Agent, ""),
+    "whole": (chat_hub.Hub, Agent, ""),
     "an id is one command": (ForgetsIds, Agent, "spent 2 times"),
     "answers are kept": (KeepsNoAnswers, Agent, "got no final answer"),
     "loss is told": (SilentOnLoss, Agent, "got no final answer"),
     "what was lost never runs again": (RunsAgain, Agent, "spent"),
-    "race-entry is unsafe": (hb.Hub, AllAreSafe, "spent"),
+    "race-entry is unsafe": (chat_hub.Hub, AllAreSafe, "spent"),
 }
 
 
@@ -150,9 +154,11 @@
     found = {}
     for name, (hub, decider, _) in GUARDS.items():
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("otterquay.chat.gateway.hb.Hub", hub)
+            patch.setattr("otterquay.chat.gateway.chat_hub.Hub", hub)
             hosts = simulated(service, 5, decider=decider, agent=Forgetful if name in LOSSES else SimAgent)
-            world = ChatWorld(day, service, 5, hosts, people=150, pause_s=0.5, fault_share=0.5, patience_s=1.0)
+            world = ChatWorld(
+                day, service, 5, hosts, client_count=150, pause_s=0.5, fault_share=0.5, patience_s=1.0
+            )
             simulate(world.run(), 5)
         found[name] = judge(world.tape, unsafe_commands(service))["violations"]
     return found
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,7 +17,7 @@
 from helpers import Drive, entry, sends, settings
 from rig import Rig, kind, raw, run, service
 from rulebook import Books
-from test_chat_hub import Desk
+from test_chat_hub import HubHarness
 from test_votes import good, offered, play
 
 from otterquay import interface as it
@@ -25,7 +25,7 @@
 from otterquay.agent.feeds import DeskBook, FleetBook
 from otterquay.chat import hub as hb
 from otterquay.chat import messages as ms
-from otterquay.chat.pace import Pace
+from otterquay.chat.handshake_pacer import HandshakePacer
 from otterquay.lab.disk import FaultDisk
 from otterquay.logs import silent
 from otterquay.policy.agent import Agent
@@ -646,39 +646,39 @@
 # --- chat ---
 def test_buckets_of_tenants_by_any_name_do_not_outlive_their_need() -> None:
     """Where no tenants are named, any client may name one: each left a bucket for ever."""
-    desk = Desk()
+    desk = HubHarness()
     desk.hub._tenants = ()
     for i in range(300):
-        conn = desk.enter(tenant=f"made-up-{i}")
+        conn = desk.open_session(tenant=f"made-up-{i}")
         desk.command(conn)
         desk.finish()
-        desk.say(conn, type="bye")
+        desk.send(conn, type="bye")
         desk.now += 100.0
-        desk.give(hb.Tick())
-    assert len(desk.hub._buckets) < 30 and desk.hub.sessions == 0 and desk.hub.open_commands == 0
-    assert not desk.hub._addresses and not desk.hub._lines
+        desk.handle(hb.Tick())
+    assert len(desk.hub._tenant_buckets) < 30 and desk.hub.sessions == 0 and desk.hub.open_commands == 0
+    assert not desk.hub._addresses and not desk.hub._connections
 
 
 def test_a_bucket_that_is_forgotten_gives_no_more_than_one_that_is_kept() -> None:
-    desk = Desk(tenant_rate=1.0, tenant_burst=2.0, session_rate=100.0, session_burst=100.0)
-    conn, codes = desk.enter(), list[str]()
+    desk = HubHarness(tenant_rate=1.0, tenant_burst=2.0, session_rate=100.0, session_burst=100.0)
+    conn, codes = desk.open_session(), list[str]()
     for i in range(40):
         told = desk.command(conn, f"c{i}")
         codes.append(told[-1].code if isinstance(told[-1], ms.Problem) else "")
         if not codes[-1]:
             desk.finish()
-            desk.say(conn, type="ack", id=f"c{i}")
+            desk.send(conn, type="ack", id=f"c{i}")
         desk.now += 250.0
-        desk.give(hb.Tick())
+        desk.handle(hb.Tick())
     assert codes.count("") <= 2 + 10 + 1 and codes.count("rate_tenant") > 20
 
 
 def test_a_crowd_that_has_gone_does_not_hold_up_who_comes_after_it() -> None:
     """Each connection took a slot for good, also one that left at once."""
-    pace = Pace(100.0, 5.0, 2.0)
-    waits = [pace.wait(0.0) for _ in range(10000)]
+    pace = HandshakePacer(100.0, 5.0, 2.0)
+    waits = [pace.reserve_slot(0.0) for _ in range(10000)]
     assert 200 < sum(w is not None for w in waits) <= 205 and max(w for w in waits if w is not None) <= 2.0
-    after = pace.wait(2.1)
+    after = pace.reserve_slot(2.1)
     assert after is not None and after < 0.1
 
 
