--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -27,7 +27,7 @@
 from otterquay.chat import hub as chat_hub
 from otterquay.chat import messages
 from otterquay.chat.handshake_pacer import HandshakePacer
-from otterquay.chat.ledger import Ledger
+from otterquay.chat.session_store import SessionStore
 from otterquay.config.schema import Service
 from otterquay.logs import Logger
 from otterquay.protocol.http import HttpRequest
@@ -91,8 +91,8 @@
         for event in self.protocol.events_received():
             if isinstance(event, Frame):
                 self.handle_frame(event)
-        whole, self._complete = self._complete, []
-        return whole
+        complete, self._complete = self._complete, []
+        return complete
 
     def handle_frame(self, frame: Frame) -> None:
         """Take a data frame; control frames are the protocol's affair."""
@@ -158,7 +158,7 @@
         self.hub = chat_hub.Hub(
             service.chat, tenants, service.agent.number, self._incarnation, key, rng, persistent=store is not None
         )
-        self._ledger = Ledger(store, log) if store else None
+        self._session_store = SessionStore(store, log) if store else None
         self._tenants = {name: i for i, name in enumerate(tenants)}
         self._classes = {name: i for i, name in enumerate(service.class_)}
         self._deadlines = [c.deadline for c in service.class_.values()]
@@ -179,9 +179,9 @@
         host, port = split_address(self._settings.listen)
         self._server = await asyncio.start_server(self._serve, host, port, backlog=4096)
         name = self._server.sockets[0].getsockname()
-        if self._ledger:
+        if self._session_store:
             now = asyncio.get_running_loop().time() * 1e3
-            self.hub.restore(now, self._ledger.load(self._incarnation))
+            self.hub.restore(now, self._session_store.load(self._incarnation))
         self._tick()
         return str(name[0]), int(name[1])
 
@@ -233,8 +233,8 @@
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
             case chat_hub.Persist():
-                if self._ledger:
-                    self._ledger.keep(action)
+                if self._session_store:
+                    self._session_store.save(action)
             case chat_hub.Query(conn_id, id, what):
                 if websocket := self._websockets.get(conn_id):
                     websocket.send(messages.encode(messages.Report(self._query(what), id)))
@@ -338,19 +338,19 @@
         """Sessions' times, and pings: a socket that is silent for two periods is gone."""
         loop = asyncio.get_running_loop()
         self.feed(chat_hub.Tick())
-        now, every = loop.time(), self._settings.ping_every / 1e3
+        now, ping_interval_s = loop.time(), self._settings.ping_every / 1e3
         for websocket in list(self._websockets.values()):
-            if now - websocket.last_received_s >= 2 * every:
+            if now - websocket.last_received_s >= 2 * ping_interval_s:
                 websocket.writer.transport.abort()
             elif (
-                now - websocket.last_received_s >= every
+                now - websocket.last_received_s >= ping_interval_s
                 and not websocket.ping_sent
                 and websocket.protocol.state is State.OPEN
             ):
                 websocket.ping_sent = True
                 websocket.protocol.send_ping(b"")
                 websocket.flush()
-        self._timer = loop.call_later(min(TICK_INTERVAL_S, every / 2), self._tick)
+        self._timer = loop.call_later(min(TICK_INTERVAL_S, ping_interval_s / 2), self._tick)
 
     # --- sessions held by another agent ---
     async def _relay(self, conn_id: int, home: int, first: bytes) -> None:
--- a/otterquay/chat/grammar.py
+++ b/otterquay/chat/grammar.py
@@ -66,11 +66,11 @@
     if len(text) > MAX_TEXT_CHARS:
         raise CommandSyntaxError(f"over {MAX_TEXT_CHARS} characters", MAX_TEXT_CHARS + 1)
     try:
-        typed = _PARSER.parse(text)
+        parsed = _PARSER.parse(text)
     except UnexpectedInput as error:
-        ended = getattr(getattr(error, "token", None), "type", "") == "$END"
-        raise CommandSyntaxError("not a command", len(text) + 1 if ended else max(error.column, 1)) from None
+        at_end = getattr(getattr(error, "token", None), "type", "") == "$END"
+        raise CommandSyntaxError("not a command", len(text) + 1 if at_end else max(error.column, 1)) from None
     except LarkError as error:
         raise CommandSyntaxError(str(error).splitlines()[0], 1) from None
-    assert isinstance(typed, ParsedCommand)
-    return typed
+    assert isinstance(parsed, ParsedCommand)
+    return parsed
--- a/otterquay/chat/hub.py
+++ b/otterquay/chat/hub.py
@@ -279,15 +279,23 @@
         self._persistent = persistent
         self.counts = dict.fromkeys(("accepted", "answered", "unknown", "dropped", "resumed", "expired"), 0)
 
-    def restore(self, now: float, recalled: StoredSessions) -> None:
+    def restore(self, now: float, stored: StoredSessions) -> None:
         """Take up sessions of before a restart; nobody knows what became of an open command: its id is spent."""
-        self._incarnation = recalled.incarnation
-        for id, (kept, entries) in recalled.sessions.items():
+        self._incarnation = stored.incarnation
+        for id, (stored_session, entries) in stored.sessions.items():
             bucket = TokenBucket(
                 self._settings.session_rate, self._settings.session_burst, self._settings.session_burst, now
             )
             session = self._sessions[id] = Session(
-                id, kept.tenant, kept.name, kept.role, None, bucket, list(kept.secrets), now, restored=True
+                id,
+                stored_session.tenant,
+                stored_session.name,
+                stored_session.role,
+                None,
+                bucket,
+                list(stored_session.secrets),
+                now,
+                restored=True,
             )
             for name, entry in entries.items():
                 if entry.retired:
@@ -352,12 +360,12 @@
 
     # --- sockets ---
     def _opened(self, conn_id: int, address: str) -> None:
-        held = self._addresses.get(address, 0)
-        if held >= self._settings.per_address:
+        open_connections = self._addresses.get(address, 0)
+        if open_connections >= self._settings.per_address:
             return self._actions.append(
                 Disconnect(conn_id, messages.LIMIT_REACHED, "too many connections from this address")
             )
-        self._addresses[address] = held + 1
+        self._addresses[address] = open_connections + 1
         nonce = f"{self._rng.getrandbits(128):032x}"
         self._connections[conn_id] = _Connection(address, nonce, self._now)
         self._send(conn_id, messages.Challenge(nonce))
@@ -378,7 +386,7 @@
                 self._disconnect(conn_id, messages.NO_HELLO, "no hello in time")
         # one that has filled up again is as good as a new one, and tenants may be any name
         self._tenant_buckets = {
-            name: one for name, one in self._tenant_buckets.items() if not one.is_full(self._now)
+            name: bucket for name, bucket in self._tenant_buckets.items() if not bucket.is_full(self._now)
         }
         for session in list(self._sessions.values()):
             if session.conn_id is None and self._now - session.detached_at >= self._settings.resume_within:
@@ -487,9 +495,9 @@
             self._send(conn_id, messages.Problem("stale_token", "a later token was given"))
             return self._disconnect(conn_id, messages.BAD_TOKEN, "stale token")
         if session.conn_id is not None:  # the newest socket holds the session
-            old, session.conn_id = session.conn_id, None
-            self._connections[old].session = None
-            self._disconnect(old, messages.TAKEN_OVER, "resumed elsewhere")
+            previous_conn_id, session.conn_id = session.conn_id, None
+            self._connections[previous_conn_id].session = None
+            self._disconnect(previous_conn_id, messages.TAKEN_OVER, "resumed elsewhere")
         self.counts["resumed"] += 1
         self._attach(conn_id, connection, session, resumed=True)
         for id in message.open if session.restored else ():
@@ -535,19 +543,19 @@
         if not session.bucket.try_take(self._now):
             return self._send(conn_id, messages.Problem("rate_session", "too many commands a second", id))
         try:
-            typed = parse(message.text)
+            parsed = parse(message.text)
         except CommandSyntaxError as error:
             return self._send(conn_id, messages.Problem("bad_syntax", str(error), id))
         if session.role == "operator":
-            return self._operator(conn_id, session, id, typed.name)
-        command = self._settings.command.get(typed.name)
+            return self._operator(conn_id, session, id, parsed.name)
+        command = self._settings.command.get(parsed.name)
         if command is None:
             known = ", ".join(f"/{name}" for name in self._settings.command)
             return self._send(conn_id, messages.Problem("unknown_command", f"there are {known}", id))
-        unknown_options = [name for name, _ in typed.options if name not in command.options]
-        if unknown_options or not command.least_words <= len(typed.arguments) <= command.most_words:
+        unknown_options = [name for name, _ in parsed.options if name not in command.options]
+        if unknown_options or not command.least_words <= len(parsed.arguments) <= command.most_words:
             allowed = f"{command.least_words} to {command.most_words} words, options {command.options}"
-            return self._send(conn_id, messages.Problem("bad_arguments", f"/{typed.name} takes {allowed}", id))
+            return self._send(conn_id, messages.Problem("bad_arguments", f"/{parsed.name} takes {allowed}", id))
         if (
             open_count := sum(entry.answer is None for entry in session.entries.values())
         ) >= self._settings.max_open:
@@ -570,9 +578,9 @@
         self._send(conn_id, messages.Accepted(id))
         body = msgspec.json.encode(
             {
-                "command": typed.name,
-                "words": typed.arguments,
-                "options": dict(typed.options),
+                "command": parsed.name,
+                "words": parsed.arguments,
+                "options": dict(parsed.options),
                 "player": session.name,
             }
         )
--- a/otterquay/chat/ledger.py
+++ b/otterquay/chat/session_store.py
@@ -16,7 +16,7 @@
 INCARNATION_TABLE, SESSION_TABLE, ENTRY_TABLE = "chat", "chat.session", "chat.entry"
 
 
-class Ledger:
+class SessionStore:
     """The tables of one agent's chat."""
 
     def __init__(self, store: Store, log: Logger) -> None:
@@ -40,23 +40,25 @@
             self._log.warning("chat_recall_failed", reason=f"{type(error).__name__}: {error}")
             return StoredSessions(new_incarnation, {})
 
-    def keep(self, action: Persist) -> None:
+    def save(self, action: Persist) -> None:
         """Write a record, or remove one."""
-        at = action.session.to_bytes(8)
+        session_key = action.session.to_bytes(8)
         changes: list[Change]
         match action.record:
             case StoredSession():
-                changes = [Put(SESSION_TABLE, at, msgspec.msgpack.encode(action.record))]
+                changes = [Put(SESSION_TABLE, session_key, msgspec.msgpack.encode(action.record))]
             case StoredEntry():
-                changes = [Put(ENTRY_TABLE, at + action.id.encode(), msgspec.msgpack.encode(action.record))]
+                changes = [
+                    Put(ENTRY_TABLE, session_key + action.id.encode(), msgspec.msgpack.encode(action.record))
+                ]
             case None if action.id:
-                changes = [Delete(ENTRY_TABLE, at + action.id.encode())]
+                changes = [Delete(ENTRY_TABLE, session_key + action.id.encode())]
             case None:
                 changes = [
-                    Delete(SESSION_TABLE, at),
+                    Delete(SESSION_TABLE, session_key),
                     *(
                         Delete(ENTRY_TABLE, key)
-                        for key, _ in self._store.scan(ENTRY_TABLE, at, (action.session + 1).to_bytes(8))
+                        for key, _ in self._store.scan(ENTRY_TABLE, session_key, (action.session + 1).to_bytes(8))
                     ),
                 ]
         self._store.submit(changes)
--- a/otterquay/lab/chat.py
+++ b/otterquay/lab/chat.py
@@ -10,7 +10,7 @@
 
 from otterquay.lab.world import World
 from otterquay.standins import tape as tp
-from otterquay.standins.chat import Chatter
+from otterquay.standins.chat import ChatClient
 
 FINAL = ("served", "refused", "failed", "unknown")
 
@@ -22,8 +22,8 @@
     client_count: int = 200
     pause_s: float = 1.0
     fault_share: float = 0.3
-    patience_s: float = 5.0  # past the longest deadline, how long clients wait for what is open
-    chat_clients: list[Chatter] = field(default_factory=list)
+    drain_timeout_s: float = 5.0  # past the longest deadline, how long clients wait for what is open
+    chat_clients: list[ChatClient] = field(default_factory=list)
 
     async def _traffic(self) -> None:
         assert self.service.chat
@@ -31,12 +31,12 @@
         tenants = [(n, t.share) for n, t in self.service.tenant.items()] or [("", 1.0)]
         for number in range(self.client_count):
             tenant = rng.choices([n for n, _ in tenants], [s for _, s in tenants])[0]
-            own = random.Random(rng.getrandbits(64))
+            client_rng = random.Random(rng.getrandbits(64))
             self.chat_clients.append(
-                Chatter(
+                ChatClient(
                     number,
                     self.tape,
-                    own,
+                    client_rng,
                     self.chat,
                     self.running,
                     tenant,
@@ -44,73 +44,73 @@
                     self.fault_share,
                 )
             )
-        patience = max(c.deadline for c in self.service.class_.values()) / 1e3 + self.patience_s
+        max_answer_wait_s = max(c.deadline for c in self.service.class_.values()) / 1e3 + self.drain_timeout_s
         until = loop.time() + self.day.duration / 1e3
-        await asyncio.gather(*(c.run(until, self.pause_s, patience) for c in self.chat_clients))
+        await asyncio.gather(*(c.run(until, self.pause_s, max_answer_wait_s) for c in self.chat_clients))
 
 
 @dataclass(slots=True)
-class _Life:
+class _CommandHistory:
     """All that is known of one command."""
 
     command: str
     at: float
-    words: list[tp.Told] = field(default_factory=list)
-    ran: list[tp.Ran] = field(default_factory=list)
+    notifications: list[tp.Told] = field(default_factory=list)
+    runs: list[tp.Ran] = field(default_factory=list)
 
 
 def judge(tape: tp.Tape, unsafe: set[str]) -> dict[str, Any]:
     """Counts and violations of a chat night; `unsafe` are the commands whose class must never run twice."""
-    lives: dict[str, _Life] = {}
+    histories: dict[str, _CommandHistory] = {}
     ends = [c for c in tape.crossings if isinstance(c, tp.AgentDown)]
     starts = [c for c in tape.crossings if isinstance(c, tp.AgentUp)]
-    deaths = [e.at for e in ends if any(s.agent == e.agent and s.at > e.at for s in starts)]
+    restart_times = [e.at for e in ends if any(s.agent == e.agent and s.at > e.at for s in starts)]
     counts: Counter[str] = Counter()
-    early: dict[str, list[tp.Ran]] = defaultdict(list)
+    runs_by_op: dict[str, list[tp.Ran]] = defaultdict(list)
     for c in tape.crossings:
         match c:
             case tp.Typed():
-                lives[c.op] = _Life(c.command, c.at)
+                histories[c.op] = _CommandHistory(c.command, c.at)
             case tp.Told():
-                if c.op in lives:
-                    lives[c.op].words.append(c)
+                if c.op in histories:
+                    histories[c.op].notifications.append(c)
             case tp.Ran():
-                early[c.op].append(c)
+                runs_by_op[c.op].append(c)
             case tp.Resumed():
                 counts["resumed" if c.held else "came_back_to_nothing"] += 1
     violations: list[str] = []
-    for op, life in lives.items():
-        life.ran = [r for r in early.get(op, []) if not r.repeat]
+    for op, history in histories.items():
+        history.runs = [r for r in runs_by_op.get(op, []) if not r.repeat]
         counts["commands"] += 1
-        finals = [w for w in life.words if w.word in FINAL and not w.again]
-        kinds = {w.word for w in finals}
-        counts["answers"] += bool(finals)
+        final_answers = [w for w in history.notifications if w.word in FINAL and not w.again]
+        kinds = {w.word for w in final_answers}
+        counts["answers"] += bool(final_answers)
         for kind in kinds:
             counts[f"answered_{kind}"] += 1
-        not_taken = any(w.word == "not_taken" for w in life.words)
+        not_taken = any(w.word == "not_taken" for w in history.notifications)
         counts["not_taken"] += not_taken
-        repeats = [w for w in life.words if w.again]
+        repeats = [w for w in history.notifications if w.again]
         counts["answers_sent_again"] += len(repeats)
-        if not finals and not not_taken:
+        if not final_answers and not not_taken:
             counts["unanswered"] += 1
-            violations.append(f"{op}: /{life.command} got no final answer")
+            violations.append(f"{op}: /{history.command} got no final answer")
         if len(kinds) > 1:
             counts["answered_twice"] += 1
             violations.append(f"{op}: answered {sorted(kinds)}")
-        if "unknown" in kinds and not any(life.at - 1 <= death for death in deaths):
+        if "unknown" in kinds and not any(history.at - 1 <= restart_time for restart_time in restart_times):
             violations.append(f"{op}: unknown, though no agent died")
-        if not_taken and life.ran:
-            violations.append(f"{op}: not taken, but it ran at server {life.ran[0].server}")
-        if life.command not in unsafe:
+        if not_taken and history.runs:
+            violations.append(f"{op}: not taken, but it ran at server {history.runs[0].server}")
+        if history.command not in unsafe:
             continue
         counts["entry_commands"] += 1
-        counts["entry_spends"] += len(life.ran)
-        if len(life.ran) > 1:
+        counts["entry_spends"] += len(history.runs)
+        if len(history.runs) > 1:
             counts["entry_spent_twice"] += 1
-            violations.append(f"{op}: spent {len(life.ran)} times")
-        if "refused" in kinds and life.ran:
-            violations.append(f"{op}: refused as harmless, but spent at server {life.ran[0].server}")
-        if "served" in kinds and not life.ran:
+            violations.append(f"{op}: spent {len(history.runs)} times")
+        if "refused" in kinds and history.runs:
+            violations.append(f"{op}: refused as harmless, but spent at server {history.runs[0].server}")
+        if "served" in kinds and not history.runs:
             violations.append(f"{op}: served, but never spent")
     names = (
         "commands",
--- a/otterquay/standins/chat.py
+++ b/otterquay/standins/chat.py
@@ -17,57 +17,59 @@
 
 
 @dataclass(slots=True, eq=False)
-class Chatter:
+class ChatClient:
     """One client and its session. `agents` are the chat addresses by number; `up` those that run."""
 
     number: int
     tape: Tape
     rng: random.Random
     agents: dict[str, str]
-    up: dict[int, str]
+    running_agents: dict[int, str]
     tenant: str
     commands: Sequence[str]
     fault_share: float
-    at: int = 0
+    agent_number: int = 0
     websocket: WebSocket | None = None
     token: str = ""
     welcomed: bool = False
     open: dict[str, str] = field(default_factory=dict)  # op: text, until its answer has come
     answered: dict[str, str] = field(default_factory=dict)
     waits: list[float] = field(default_factory=list)
-    _since: dict[str, float] = field(default_factory=dict)
-    _typed: int = 0
+    _sent_at: dict[str, float] = field(default_factory=dict)
+    _command_count: int = 0
     _stalled_until: float = 0.0
 
-    async def run(self, until: float, pause_s: float, patience_s: float) -> None:
+    async def run(self, until: float, pause_s: float, drain_timeout_s: float) -> None:
         """Type until `until`, then wait for what is open as long as that takes, at most `patience_s`."""
         loop = asyncio.get_running_loop()
-        self.at = self.rng.randrange(len(self.agents))
+        self.agent_number = self.rng.randrange(len(self.agents))
         next_at = loop.time() + self.rng.uniform(0, pause_s)
-        while loop.time() < until or (self.open and loop.time() < until + patience_s):
+        while loop.time() < until or (self.open and loop.time() < until + drain_timeout_s):
             if self.websocket is None and not await self._connect():
                 await asyncio.sleep(self.rng.uniform(0.05, 0.3))
-                self.at = self.rng.randrange(len(self.agents))
+                self.agent_number = self.rng.randrange(len(self.agents))
                 continue
             if self.welcomed and loop.time() >= next_at and loop.time() < until:
                 next_at = loop.time() + self.rng.expovariate(1 / pause_s)
-                await self._type()
+                await self._send_command()
             else:
-                soon = loop.time() + 0.2  # before it is welcome, a client's next command does not fall due
-                await self._pump(min(next_at, soon) if self.welcomed and loop.time() < until else soon)
-        self._drop()
+                poll_until = loop.time() + 0.2  # before it is welcome, a client's next command does not fall due
+                await self._receive_until(
+                    min(next_at, poll_until) if self.welcomed and loop.time() < until else poll_until
+                )
+        self._abort_connection()
 
-    def _drop(self) -> None:
+    def _abort_connection(self) -> None:
         if self.websocket:
             self.websocket.writer.transport.abort()
         self.websocket, self.welcomed = None, False
 
     async def _connect(self) -> bool:
-        if self.at not in self.up:
+        if self.agent_number not in self.running_agents:
             return False
         try:
             async with asyncio.timeout(3):
-                self.websocket = await dial(self.agents[str(self.at)])
+                self.websocket = await dial(self.agents[str(self.agent_number)])
         except (OSError, TimeoutError):
             return False
         return True
@@ -76,71 +78,71 @@
         if self.websocket:
             self.websocket.send(msgspec.json.encode(message))
 
-    async def _type(self) -> None:
-        self._typed += 1
-        op, loop = f"c{self.number}-{self._typed}", asyncio.get_running_loop()
+    async def _send_command(self) -> None:
+        self._command_count += 1
+        op, loop = f"c{self.number}-{self._command_count}", asyncio.get_running_loop()
         name = self.rng.choice(self.commands)
         text = f"/{name} {op}"
-        self.open[op], self._since[op] = text, loop.time()
+        self.open[op], self._sent_at[op] = text, loop.time()
         self.tape.add(Typed(loop.time(), op, self.number, name))
         self._send(type="command", id=op, text=text)
         fault = self.rng.choice(FAULTS) if self.rng.random() < self.fault_share else "none"
         if fault == "drop_at_once":
-            self._drop()
+            self._abort_connection()
         elif fault == "drop_after":
-            await self._pump(loop.time() + self.rng.uniform(0, 0.08))
-            self._drop()
+            await self._receive_until(loop.time() + self.rng.uniform(0, 0.08))
+            self._abort_connection()
         elif fault == "drop_and_twice":
-            self._drop()
-            twin = Chatter(
+            self._abort_connection()
+            duplicate = ChatClient(
                 self.number,
                 self.tape,
                 self.rng,
                 self.agents,
-                self.up,
+                self.running_agents,
                 self.tenant,
                 (),
                 0.0,
-                self.at,
+                self.agent_number,
                 token=self.token,
                 open=dict(self.open),
             )
-            if self.token and await twin._connect():  # a twin with the same token at the same time
-                asyncio.get_running_loop().call_later(0.1, twin._drop)
-                self._twin = twin.websocket
-                twin._send(type="resume", token=self.token, open=list(self.open))
+            if self.token and await duplicate._connect():  # a twin with the same token at the same time
+                asyncio.get_running_loop().call_later(0.1, duplicate._abort_connection)
+                self._duplicate = duplicate.websocket
+                duplicate._send(type="resume", token=self.token, open=list(self.open))
         elif fault == "elsewhere":
-            self._drop()
-            self.at = self.rng.randrange(len(self.agents))
+            self._abort_connection()
+            self.agent_number = self.rng.randrange(len(self.agents))
         elif fault == "again":
             self._send(type="command", id=op, text=text)
         elif fault == "stall":
             self._stalled_until = loop.time() + self.rng.uniform(0.1, 0.5)
 
-    _twin: WebSocket | None = None
+    _duplicate: WebSocket | None = None
 
-    async def _pump(self, due: float) -> None:
+    async def _receive_until(self, deadline: float) -> None:
         """Take what comes until `due`."""
         loop, websocket = asyncio.get_running_loop(), self.websocket
         if self._stalled_until > loop.time():
-            return await asyncio.sleep(min(due, self._stalled_until) - loop.time())
+            return await asyncio.sleep(min(deadline, self._stalled_until) - loop.time())
         if websocket is None:
             return
         try:
             for text in websocket.messages():
-                self._take(msgspec.json.decode(text))
-            async with asyncio.timeout_at(due):
+                self._handle_message(msgspec.json.decode(text))
+            async with asyncio.timeout_at(deadline):
                 if not await websocket.receive():
-                    return self._drop()
+                    return self._abort_connection()
             for text in websocket.messages():
-                self._take(msgspec.json.decode(text))
+                self._handle_message(msgspec.json.decode(text))
             websocket.flush()
         except TimeoutError:
             return
         except OSError:
-            self._drop()
+            self._abort_connection()
 
-    def _take(self, message: dict[str, Any]) -> None:
+    def _handle_message(self, message: dict[str, Any]) -> None:
         now = asyncio.get_running_loop().time()
         match message["type"]:
             case "challenge":
@@ -150,29 +152,29 @@
                     self._send(type="hello", name=f"player-{self.number}", tenant=self.tenant)
             case "welcome":
                 if self.token:
-                    self.tape.add(Resumed(now, self.number, self.at, bool(message.get("resumed"))))
+                    self.tape.add(Resumed(now, self.number, self.agent_number, bool(message.get("resumed"))))
                 self.token, self.welcomed = message["token"], True
             case "accepted":
-                self.tape.add(Told(now, message["id"], self.number, "accepted", self.at, False))
+                self.tape.add(Told(now, message["id"], self.number, "accepted", self.agent_number, False))
             case "answer":
-                self._answer(message["id"], message["kind"], now)
+                self._handle_answer(message["id"], message["kind"], now)
             case "error":
-                self._problem(message, now)
+                self._handle_error(message, now)
 
-    def _answer(self, op: str, kind: Any, now: float) -> None:
-        again = self.answered.get(op) == kind
-        self.tape.add(Told(now, op, self.number, kind, self.at, again))
+    def _handle_answer(self, op: str, kind: Any, now: float) -> None:
+        repeated = self.answered.get(op) == kind
+        self.tape.add(Told(now, op, self.number, kind, self.agent_number, repeated))
         self.answered[op] = kind
         self._send(type="ack", id=op)
         if self.open.pop(op, None):
-            self.waits.append(now - self._since[op])
+            self.waits.append(now - self._sent_at[op])
 
-    def _problem(self, message: dict[str, Any], now: float) -> None:
+    def _handle_error(self, message: dict[str, Any], now: float) -> None:
         code, op = message["code"], message.get("id", "")
         if code == "stale_token":  # what is open is lost to us; the judge will say so
             self.token = ""
         elif code == "not_here" and op in self.open:
             self._send(type="command", id=op, text=self.open[op])
         elif op in self.open:
-            self.tape.add(Told(now, op, self.number, "not_taken", self.at, False))
+            self.tape.add(Told(now, op, self.number, "not_taken", self.agent_number, False))
             del self.open[op]
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -56,24 +56,24 @@
     def chat_at(self) -> str:
         return "{}:{}".format(*self.runtime.chat_bound)
 
-    async def open_session(self, **hello: Any) -> Talk:
+    async def open_session(self, **hello: Any) -> ChatConnection:
         """A client with a session."""
-        talk = Talk(await dial(self.chat_at))
-        assert (await talk.next())["type"] == "challenge"
-        talk.send(type="hello", **{"name": "p", "tenant": "first-studio", **hello})
-        talk.welcome = await talk.next()
-        return talk
+        client = ChatConnection(await dial(self.chat_at))
+        assert (await client.next())["type"] == "challenge"
+        client.send(type="hello", **{"name": "p", "tenant": "first-studio", **hello})
+        client.welcome = await client.next()
+        return client
 
-    async def back(self, talk: Talk, *open: str) -> Talk:
+    async def resume(self, client: ChatConnection, *open: str) -> ChatConnection:
         """A client that comes back."""
-        again = Talk(await dial(self.chat_at))
+        again = ChatConnection(await dial(self.chat_at))
         await again.next()
-        again.send(type="resume", token=talk.welcome["token"], open=list(open))
+        again.send(type="resume", token=client.welcome["token"], open=list(open))
         again.welcome = await again.next()
         return again
 
 
-class Talk:
+class ChatConnection:
     """A client's side of one socket."""
 
     def __init__(self, websocket: WebSocket) -> None:
@@ -107,9 +107,9 @@
 def test_a_typed_command_reaches_a_matchmaker_and_its_answer_the_player() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
-            talk = await rig.open_session()
-            talk.send(type="command", id="c1", text="/join cup --car=9")
-            found = [await talk.next() for _ in range(3)]
+            client = await rig.open_session()
+            client.send(type="command", id="c1", text="/join cup --car=9")
+            found = [await client.next() for _ in range(3)]
             assert [m["type"] for m in found] == ["accepted", "progress", "answer"]
             assert found[2] == {"type": "answer", "id": "c1", "kind": "served", "text": "right"}
             got = next(r for s in rig.servers for r in s.got)
@@ -126,11 +126,11 @@
             held: list[Any] = []
             for server in rig.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await rig.open_session()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await rig.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: held)
-            talk.websocket.writer.transport.abort()
-            again = await rig.back(talk, "e1")
+            client.websocket.writer.transport.abort()
+            again = await rig.resume(client, "e1")
             again.send(type="command", id="e1", text="/entry cup")
             assert (await again.next())["type"] == "accepted"
             right(*held[0])
@@ -146,15 +146,15 @@
         async with ChatRig() as rig:
             for server in rig.servers:
                 server.behave = silent_server
-            talk = await rig.open_session()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await rig.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: any(s.got for s in rig.servers))
             rig.runtime.gateway.abort()  # type: ignore[union-attr]
             rig.runtime.close()
             for server in rig.servers:
                 server.behave = right
             await rig.up(rig.list.listener.address, rig.desk.listener.address)
-            again = await rig.back(talk, "e1")
+            again = await rig.resume(client, "e1")
             assert "resumed" not in again.welcome or not again.welcome["resumed"]
             assert (await again.next())["kind"] == "unknown"
             again.send(type="command", id="e1", text="/entry cup")
@@ -175,11 +175,11 @@
             held: list[Any] = []
             for server in home.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await home.open_session()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await home.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await home.until(lambda: held)
-            again = await other.back(talk, "e1")  # while the first socket still waits
-            assert again.welcome["resumed"] and await talk.code() == messages.TAKEN_OVER
+            again = await other.resume(client, "e1")  # while the first socket still waits
+            assert again.welcome["resumed"] and await client.code() == messages.TAKEN_OVER
             right(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             again.send(type="command", id="l1", text="/lobby")
@@ -188,7 +188,7 @@
             home.runtime.gateway.abort()  # type: ignore[union-attr]
             assert await again.code() == 1012
             home.runtime.close()
-            last = await other.back(again, "l1")
+            last = await other.resume(again, "l1")
             assert (await last.next())["kind"] == "unknown"
 
     run(work)
@@ -197,15 +197,15 @@
 def test_a_reader_that_stops_is_cut_off_keeps_its_session_and_holds_up_nobody() -> None:
     async def work() -> None:
         async with ChatRig(max_unsent=20000, session_rate=1e6, session_burst=1e6, max_open=1000) as rig:
-            talk, other = await rig.open_session(), await rig.open_session(name="q")
-            talk.websocket.writer.transport.pause_reading()
-            near = talk.websocket.writer.get_extra_info("socket")
+            client, other = await rig.open_session(), await rig.open_session(name="q")
+            client.websocket.writer.transport.pause_reading()
+            near = client.websocket.writer.get_extra_info("socket")
             near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             for websocket in rig.runtime.gateway._websockets.values():  # type: ignore[union-attr]
                 websocket.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             lost = False
             for i in range(20000):
-                talk.send(type="command", id=f"x{i}", text="/dance " + "x" * 50)
+                client.send(type="command", id=f"x{i}", text="/dance " + "x" * 50)
                 if i % 200 == 0:
                     await asyncio.sleep(0)
                 if len(rig.runtime.gateway._websockets) == 1:  # type: ignore[union-attr]
@@ -214,7 +214,7 @@
             await rig.until(lambda: lost or len(rig.runtime.gateway._websockets) == 1)  # type: ignore[union-attr]
             other.send(type="command", id="l1", text="/lobby")
             assert (await other.next("answer"))["kind"] == "served"
-            again = await rig.back(talk)
+            again = await rig.resume(client)
             assert again.welcome["resumed"]
 
     run(work)
@@ -239,19 +239,19 @@
 def test_operators_ask_and_follow() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
-            talk = Talk(await dial(rig.chat_at))
-            nonce = (await talk.next())["nonce"]
-            talk.send(type="hello", name="ann", role="operator", proof=proof(KEY, nonce, "operator", "", "ann"))
-            await talk.next()
-            talk.send(type="command", id="s", text="/status")
-            report = await talk.next()
+            client = ChatConnection(await dial(rig.chat_at))
+            nonce = (await client.next())["nonce"]
+            client.send(type="hello", name="ann", role="operator", proof=proof(KEY, nonce, "operator", "", "ann"))
+            await client.next()
+            client.send(type="command", id="s", text="/status")
+            report = await client.next()
             assert report["id"] == "s" and "build 1: stage 1, released" in report["text"]
-            talk.send(type="command", id="f", text="/follow")
-            assert (await talk.next())["text"] == "following"
+            client.send(type="command", id="f", text="/follow")
+            assert (await client.next())["text"] == "following"
             rig.stage(2, "trial", 0.28)
-            assert "build 2: stage 1, trial, cap 28%" in (await talk.next())["text"]
-            talk.send(type="command", id="v", text="/votes")
-            assert (await talk.next())["id"] == "v"
+            assert "build 2: stage 1, trial, cap 28%" in (await client.next())["text"]
+            client.send(type="command", id="v", text="/votes")
+            assert (await client.next())["id"] == "v"
 
     run(work)
 
@@ -262,17 +262,17 @@
             held: list[Any] = []
             for server in rig.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await rig.open_session()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await rig.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: held)
             stopping = asyncio.ensure_future(rig.runtime.stop())
             await asyncio.sleep(0.02)
             with pytest.raises(OSError):
                 await dial(rig.chat_at)
             right(*held[0])
-            assert (await talk.next("answer"))["kind"] == "served"
+            assert (await client.next("answer"))["kind"] == "served"
             await stopping
-            assert await talk.code() == 1012
+            assert await client.code() == 1012
 
     run(work)
 
@@ -339,7 +339,7 @@
 }
 
 
-async def shake(at: str, *extra: str, subprotocol: str | None = messages.SUBPROTOCOL) -> tuple[Any, Any, bytes]:
+async def upgrade(at: str, *extra: str, subprotocol: str | None = messages.SUBPROTOCOL) -> tuple[Any, Any, bytes]:
     reader, writer = await asyncio.open_connection(*at.split(":"))
     lines = [
         "GET / HTTP/1.1",
@@ -379,15 +379,15 @@
         async with ChatRig() as rig:
             found = {}
             for name, (data, _) in CASES.items():
-                reader, writer, head = await shake(rig.chat_at)
+                reader, writer, head = await upgrade(rig.chat_at)
                 assert b" 101 " in head
                 writer.write(data)
                 found[name] = (await outcome(reader))[0]
                 writer.close()
             assert found == {name: expected for name, (_, expected) in CASES.items()}
-            talk = await rig.open_session()
-            talk.send(type="command", id="l1", text="/lobby")
-            assert (await talk.next("answer"))["kind"] == "served"
+            client = await rig.open_session()
+            client.send(type="command", id="l1", text="/lobby")
+            assert (await client.next("answer"))["kind"] == "served"
 
     run(work)
 
@@ -396,7 +396,7 @@
     async def work() -> None:
         async with ChatRig() as rig:
             for subprotocol in (None, "otterquay.chat.v9", "soap"):
-                _, writer, head = await shake(rig.chat_at, subprotocol=subprotocol)
+                _, writer, head = await upgrade(rig.chat_at, subprotocol=subprotocol)
                 assert b" 400 " in head
                 writer.close()
             for data in (
@@ -425,7 +425,7 @@
     async def work() -> None:
         async with ChatRig() as rig:
             offer = "sec-websocket-extensions: permessage-deflate; client_max_window_bits"
-            reader, writer, head = await shake(rig.chat_at, offer)
+            reader, writer, head = await upgrade(rig.chat_at, offer)
             assert b"permessage-deflate" in head
             writer.write(frame(TEXT, deflated(HELLO), rsv=4))
             compressed = await reader.read(65536)
@@ -433,10 +433,10 @@
             await rig.until(lambda: rig.runtime.gateway.hub.sessions == 1)  # type: ignore[union-attr]
             bomb = deflated(b"\0" * 50_000_000)
             assert len(bomb) < 60_000
-            reader, writer, _ = await shake(rig.chat_at, offer)
+            reader, writer, _ = await upgrade(rig.chat_at, offer)
             writer.write(frame(TEXT, bomb[:4000], rsv=4, fin=False) + frame(CONT, bomb[4000:]))
             assert (await outcome(reader))[0] == 1009
-            reader, writer, _ = await shake(rig.chat_at, offer)
+            reader, writer, _ = await upgrade(rig.chat_at, offer)
             writer.write(frame(TEXT, b"\xff" * 40, rsv=4))
             assert (await outcome(reader))[0] in (1002, 1007)
             assert (await rig.open_session()).welcome["type"] == WELCOME
@@ -492,14 +492,16 @@
 
 @pytest.mark.parametrize("path", sorted(CORPUS.glob("*")), ids=lambda p: p.name)
 def test_the_corpus_of_hostile_messages(path: Path) -> None:
-    from test_chat_hub import HubHarness, code
+    from test_chat_hub import HubHarness, error_code
 
     from otterquay.chat import hub as chat_hub
 
     harness = HubHarness()
     conn = harness.open_session()
     harness.handle(chat_hub.Received(conn, path.read_bytes()))
-    assert code(harness.told[conn]) or isinstance(harness.told[conn][-1], messages.Accepted | messages.Welcome)
+    assert error_code(harness.received[conn]) or isinstance(
+        harness.received[conn][-1], messages.Accepted | messages.Welcome
+    )
 
 
 def test_the_corpus_is_there() -> None:
--- a/tests/test_chat_hub.py
+++ b/tests/test_chat_hub.py
@@ -27,52 +27,58 @@
 class HubHarness:
     """A hub with a clock; remembers what each socket was told and what was submitted."""
 
-    def __init__(self, me: int = 0, life: int = 7, **changes: Any) -> None:
+    def __init__(self, agent_number: int = 0, incarnation: int = 7, **changes: Any) -> None:
         self.hub = chat_hub.Hub(
-            CHAT.model_copy(update=changes), ("a", "b"), me, life, KEY, random.Random(me), persistent=True
+            CHAT.model_copy(update=changes),
+            ("a", "b"),
+            agent_number,
+            incarnation,
+            KEY,
+            random.Random(agent_number),
+            persistent=True,
         )
         self.now = 0.0
-        self.told: dict[int, list[Any]] = {}
-        self.shut: dict[int, int] = {}
+        self.received: dict[int, list[Any]] = {}
+        self.close_codes: dict[int, int] = {}
         self.submitted: list[chat_hub.Submit] = []
         self.other: list[chat_hub.Action] = []
-        self.kept: list[chat_hub.Persist] = []
+        self.persisted: list[chat_hub.Persist] = []
         self.conns = 0
-        self.args = me, changes
+        self.args = agent_number, changes
 
     def handle(self, event: chat_hub.Event) -> list[chat_hub.Action]:
         actions = self.hub.handle(self.now, event)
         for action in actions:
             match action:
                 case chat_hub.Deliver(conn, message):
-                    self.told.setdefault(conn, []).append(message)
+                    self.received.setdefault(conn, []).append(message)
                 case chat_hub.Disconnect(conn, code, _):
-                    self.shut[conn] = code
+                    self.close_codes[conn] = code
                 case chat_hub.Submit():
                     self.submitted.append(action)
                 case chat_hub.Persist():
-                    self.kept.append(action)
+                    self.persisted.append(action)
                 case _:
                     self.other.append(action)
         return actions
 
     def restart(self, lost: int = 0) -> None:
         """The agent is killed and begins anew with what it wrote down, but for the newest records."""
-        del self.kept[len(self.kept) - lost :]
+        del self.persisted[len(self.persisted) - lost :]
         sessions: dict[int, tuple[chat_hub.StoredSession, dict[str, chat_hub.StoredEntry]]] = {}
-        for keep in self.kept:
-            match keep.record:
+        for persist in self.persisted:
+            match persist.record:
                 case chat_hub.StoredSession():
-                    sessions[keep.session] = keep.record, sessions.get(keep.session, (None, {}))[1]
-                case chat_hub.StoredEntry() if keep.session in sessions:
-                    sessions[keep.session][1][keep.id] = keep.record
-                case None if keep.id and keep.session in sessions:
-                    sessions[keep.session][1].pop(keep.id, None)
-                case None if not keep.id:
-                    sessions.pop(keep.session, None)
-        me, changes = self.args
-        fresh = HubHarness(me, life=99, **changes)
-        fresh.hub._rng = random.Random(len(self.kept) + 1000)
+                    sessions[persist.session] = persist.record, sessions.get(persist.session, (None, {}))[1]
+                case chat_hub.StoredEntry() if persist.session in sessions:
+                    sessions[persist.session][1][persist.id] = persist.record
+                case None if persist.id and persist.session in sessions:
+                    sessions[persist.session][1].pop(persist.id, None)
+                case None if not persist.id:
+                    sessions.pop(persist.session, None)
+        agent_number, changes = self.args
+        fresh = HubHarness(agent_number, incarnation=99, **changes)
+        fresh.hub._rng = random.Random(len(self.persisted) + 1000)
         self.hub = fresh.hub
         self.hub.restore(self.now, chat_hub.StoredSessions(7, sessions))
 
@@ -83,9 +89,9 @@
 
     def send(self, conn: int, **message: Any) -> list[Any]:
         """Send a message; what this socket is told for it."""
-        before = len(self.told.get(conn, []))
+        before = len(self.received.get(conn, []))
         self.handle(chat_hub.Received(conn, msgspec.json.encode(message)))
-        return self.told.get(conn, [])[before:]
+        return self.received.get(conn, [])[before:]
 
     def open_session(self, tenant: str = "a", **more: Any) -> int:
         conn = self.open()
@@ -93,7 +99,7 @@
         return conn
 
     def token(self, conn: int) -> str:
-        return next(m.token for m in reversed(self.told[conn]) if isinstance(m, messages.Welcome))
+        return next(m.token for m in reversed(self.received[conn]) if isinstance(m, messages.Welcome))
 
     def command(self, conn: int, id: str = "c1", text: str = "/entry cup") -> list[Any]:
         return self.send(conn, type="command", id=id, text=text)
@@ -101,13 +107,13 @@
     def finish(self, kind: str = "served", ref: int | None = None) -> None:
         self.handle(chat_hub.Finished(ref or self.submitted[-1].ref, kind, "ok", 0.0))  # type: ignore[arg-type]
 
-    def back(self, token: str, *open: str) -> tuple[int, list[Any]]:
+    def resume(self, token: str, *open: str) -> tuple[int, list[Any]]:
         conn = self.open()
         return conn, self.send(conn, type="resume", token=token, open=list(open))
 
 
-def code(told: list[Any]) -> str:
-    return told[-1].code if told and isinstance(told[-1], messages.Problem) else ""
+def error_code(received: list[Any]) -> str:
+    return received[-1].code if received and isinstance(received[-1], messages.Problem) else ""
 
 
 def test_a_command_is_accepted_submitted_and_answered() -> None:
@@ -124,7 +130,7 @@
     }
     harness.handle(chat_hub.Attempted(sent.ref, 1))
     harness.finish()
-    assert harness.told[conn][-2:] == [messages.Progress("c1", 1), messages.Answer("c1", "served", "ok")]
+    assert harness.received[conn][-2:] == [messages.Progress("c1", 1), messages.Answer("c1", "served", "ok")]
     assert harness.hub.open_commands == 0
 
 
@@ -135,14 +141,14 @@
     assert harness.command(conn) == [messages.Accepted("c1")]
     harness.finish()
     assert harness.command(conn) == [messages.Answer("c1", "served", "ok")]
-    assert code(harness.command(conn, text="/entry other")) == "other_command"
+    assert error_code(harness.command(conn, text="/entry other")) == "other_command"
     harness.send(conn, type="ack", id="c1")
     for i in range(200):  # far past what is kept
         harness.now += 1000
         harness.command(conn, f"d{i}")
         harness.finish()
         harness.send(conn, type="ack", id=f"d{i}")
-    assert code(harness.command(conn)) == "already_answered"
+    assert error_code(harness.command(conn)) == "already_answered"
     assert len(harness.submitted) == 201
 
 
@@ -152,14 +158,14 @@
     harness.command(conn)
     harness.handle(chat_hub.Closed(conn))
     harness.finish()
-    again, told = harness.back(harness.token(conn), "c1")
-    assert told[0].resumed and told[1:] == [messages.Answer("c1", "served", "ok")]
+    again, received = harness.resume(harness.token(conn), "c1")
+    assert received[0].resumed and received[1:] == [messages.Answer("c1", "served", "ok")]
     harness.handle(chat_hub.Closed(again))
-    once_more, told = harness.back(harness.token(again), "c1")
-    assert told[1:] == [messages.Answer("c1", "served", "ok")]
+    once_more, received = harness.resume(harness.token(again), "c1")
+    assert received[1:] == [messages.Answer("c1", "served", "ok")]
     harness.send(once_more, type="ack", id="c1")
     harness.handle(chat_hub.Closed(once_more))
-    assert harness.back(harness.token(once_more))[1][1:] == []
+    assert harness.resume(harness.token(once_more))[1][1:] == []
 
 
 def test_what_never_came_may_be_sent_again_and_what_came_is_not_run_twice() -> None:
@@ -167,8 +173,11 @@
     conn = harness.open_session()
     harness.command(conn, "c1")
     harness.handle(chat_hub.Closed(conn))
-    again, told = harness.back(harness.token(conn), "c1", "c2")
-    assert [type(m) for m in told] == [messages.Welcome, messages.Problem] and (told[1].code, told[1].id) == (
+    again, received = harness.resume(harness.token(conn), "c1", "c2")
+    assert [type(m) for m in received] == [messages.Welcome, messages.Problem] and (
+        received[1].code,
+        received[1].id,
+    ) == (
         "not_here",
         "c2",
     )
@@ -185,23 +194,23 @@
     conn = harness.open_session()
     harness.command(conn)
     token = harness.token(conn)
-    one, _ = harness.back(token, "c1")
-    assert harness.shut[conn] == messages.TAKEN_OVER
-    two, told = harness.back(token, "c1")  # its first welcome may have been lost: still good
-    assert told[0].resumed and harness.shut[one] == messages.TAKEN_OVER
+    one, _ = harness.resume(token, "c1")
+    assert harness.close_codes[conn] == messages.TAKEN_OVER
+    two, received = harness.resume(token, "c1")  # its first welcome may have been lost: still good
+    assert received[0].resumed and harness.close_codes[one] == messages.TAKEN_OVER
     for _ in range(3):  # any number of welcomes may be lost in a row
-        two, told = harness.back(token, "c1")
-        assert told[0].resumed
+        two, received = harness.resume(token, "c1")
+        assert received[0].resumed
     crossed = harness.token(two)
-    two, _ = harness.back(token, "c1")  # a second return with the old token takes it over from the new one
-    two, told = harness.back(crossed, "c1")
-    assert told[0].resumed, "the client that has the new token was not locked out"
+    two, _ = harness.resume(token, "c1")  # a second return with the old token takes it over from the new one
+    two, received = harness.resume(crossed, "c1")
+    assert received[0].resumed, "the client that has the new token was not locked out"
     harness.finish()
-    assert [isinstance(m, messages.Answer) for m in harness.told[two]].count(True) == 1
-    assert not any(isinstance(m, messages.Answer) for m in harness.told[one])
+    assert [isinstance(m, messages.Answer) for m in harness.received[two]].count(True) == 1
+    assert not any(isinstance(m, messages.Answer) for m in harness.received[one])
     harness.send(two, type="ack", id="c1")  # the client has shown that it has the new token
-    three, told = harness.back(token)
-    assert code(told) == "stale_token" and harness.shut[three] == messages.BAD_TOKEN
+    three, received = harness.resume(token)
+    assert error_code(received) == "stale_token" and harness.close_codes[three] == messages.BAD_TOKEN
 
 
 @pytest.mark.parametrize("lost", ["other life", "expired", "home gone"])
@@ -211,23 +220,23 @@
     harness.command(conn)
     token = harness.token(conn)
     if lost == "other life":
-        harness = HubHarness(life=8)
-        again, told = harness.back(token, "c1")
+        harness = HubHarness(incarnation=8)
+        again, received = harness.resume(token, "c1")
     elif lost == "expired":
         harness.handle(chat_hub.Closed(conn))
         harness.now += CHAT.resume_within
         harness.handle(chat_hub.Tick())
         assert harness.hub.sessions == 0
         harness.submitted.clear()
-        again, told = harness.back(token, "c1")
+        again, received = harness.resume(token, "c1")
     else:
-        harness = HubHarness(me=1)
-        again, told = harness.back(token, "c1")
-        assert told == [] and isinstance(harness.other[0], chat_hub.Relay) and harness.other[0].home == 0
+        harness = HubHarness(agent_number=1)
+        again, received = harness.resume(token, "c1")
+        assert received == [] and isinstance(harness.other[0], chat_hub.Relay) and harness.other[0].home == 0
         harness.handle(chat_hub.HomeUnreachable(again))
-        told = harness.told[again][1:]
-    assert not told[0].resumed and told[1].kind == "unknown"
-    assert harness.command(again) == [told[1]] and not harness.submitted
+        received = harness.received[again][1:]
+    assert not received[0].resumed and received[1].kind == "unknown"
+    assert harness.command(again) == [received[1]] and not harness.submitted
     harness.command(again, "c2")
     assert len(harness.submitted) == 1
 
@@ -243,9 +252,9 @@
     harness.command(conn, "open")
     token, ran = harness.token(conn), len(harness.submitted)
     harness.restart()
-    again, told = harness.back(token, "open", "done", "unsent")
-    assert told[0].resumed
-    answers = {m.id: m.kind for m in told if isinstance(m, messages.Answer)}
+    again, received = harness.resume(token, "open", "done", "unsent")
+    assert received[0].resumed
+    answers = {m.id: m.kind for m in received if isinstance(m, messages.Answer)}
     assert answers == {"done": "served", "open": "unknown", "unsent": "unknown"}
     for id in ("done", "open", "unsent", "old"):
         assert isinstance(harness.command(again, id)[-1], messages.Answer)
@@ -253,8 +262,8 @@
     harness.command(again, "next")
     assert len(harness.submitted) == ran + 1 and harness.submitted[-1].key.startswith("7.")
     harness.handle(chat_hub.Closed(again))
-    _, told = harness.back(harness.token(again), "later")
-    assert code(told) == "not_here", "by now all is known again"
+    _, received = harness.resume(harness.token(again), "later")
+    assert error_code(received) == "not_here", "by now all is known again"
 
 
 def test_an_answer_shown_whose_record_was_lost_is_not_followed_by_another() -> None:
@@ -264,8 +273,8 @@
     harness.finish()
     token = harness.token(conn)
     harness.restart(lost=1)
-    _, told = harness.back(token)
-    assert told[0].resumed and not [m for m in told if isinstance(m, messages.Answer)]
+    _, received = harness.resume(token)
+    assert received[0].resumed and not [m for m in received if isinstance(m, messages.Answer)]
 
 
 def test_a_token_given_after_the_last_record_that_lasted_is_an_orphans() -> None:
@@ -273,11 +282,11 @@
     conn = harness.open_session()
     harness.command(conn)
     token = harness.token(conn)
-    again, _ = harness.back(token)
+    again, _ = harness.resume(token)
     newer = harness.token(again)
     harness.restart(lost=1)
-    _, told = harness.back(newer, "c1")
-    assert not told[0].resumed and told[1].kind == "unknown" and len(harness.submitted) == 1
+    _, received = harness.resume(newer, "c1")
+    assert not received[0].resumed and received[1].kind == "unknown" and len(harness.submitted) == 1
 
 
 def test_an_answer_after_the_session_is_gone_reaches_nobody_and_disturbs_nothing() -> None:
@@ -285,7 +294,7 @@
     conn = harness.open_session()
     harness.command(conn)
     harness.send(conn, type="bye")
-    assert harness.shut[conn] == 1000
+    assert harness.close_codes[conn] == 1000
     harness.finish()
     harness.finish(ref=1)
     harness.finish(ref=99)
@@ -295,41 +304,41 @@
 def test_each_excess_has_its_own_code_and_the_command_did_not_run() -> None:
     harness = HubHarness(max_open=2, session_burst=100.0, tenant_burst=4.0, tenant_rate=1.0, max_kept=3)
     conn, other = harness.open_session(), harness.open_session("b")
-    assert [code(harness.command(conn, f"c{i}")) for i in range(3)] == ["", "", "too_many_open"]
+    assert [error_code(harness.command(conn, f"c{i}")) for i in range(3)] == ["", "", "too_many_open"]
     harness.finish(ref=1)
     harness.finish(ref=2)
-    assert code(harness.command(conn, "c3")) == ""
+    assert error_code(harness.command(conn, "c3")) == ""
     harness.finish()
-    assert code(harness.command(conn, "c4")) == "unacknowledged"
+    assert error_code(harness.command(conn, "c4")) == "unacknowledged"
     harness.send(conn, type="ack", id="c0")
-    assert code(harness.command(conn, "c4")) == ""
+    assert error_code(harness.command(conn, "c4")) == ""
     harness.finish()
     harness.send(conn, type="ack", id="c1")
-    assert code(harness.command(conn, "c5")) == "rate_tenant"
-    assert code(harness.command(other, "c1")) == "", "another tenant is not held up"
+    assert error_code(harness.command(conn, "c5")) == "rate_tenant"
+    assert error_code(harness.command(other, "c1")) == "", "another tenant is not held up"
     assert len(harness.submitted) == 5
     slow = HubHarness(session_rate=1.0, session_burst=2.0)
     conn = slow.open_session()
-    assert [code(slow.command(conn, f"c{i}", "/lobby")) for i in range(3)] == ["", "", "rate_session"]
+    assert [error_code(slow.command(conn, f"c{i}", "/lobby")) for i in range(3)] == ["", "", "rate_session"]
     slow.now += 1000
-    assert code(slow.command(conn, "c9", "/lobby")) == ""
+    assert error_code(slow.command(conn, "c9", "/lobby")) == ""
 
 
 def test_bounds_on_connections_sessions_and_time_to_hello() -> None:
     harness = HubHarness(per_address=2, max_sessions=2)
     one, two = harness.open(), harness.open()
-    assert harness.shut == {} and harness.open() and harness.shut == {3: messages.LIMIT_REACHED}
+    assert harness.close_codes == {} and harness.open() and harness.close_codes == {3: messages.LIMIT_REACHED}
     harness.handle(chat_hub.Closed(one))
-    assert harness.open() and 4 not in harness.shut
+    assert harness.open() and 4 not in harness.close_codes
     harness.now += CHAT.hello_within
     harness.handle(chat_hub.Tick())
-    assert harness.shut[two] == harness.shut[4] == messages.NO_HELLO
+    assert harness.close_codes[two] == harness.close_codes[4] == messages.NO_HELLO
     harness.open_session()
     harness.open_session()
     conn = harness.open("10.0.0.2")
     assert (
-        code(harness.send(conn, type="hello", name="x", tenant="a")) == "full"
-        and harness.shut[conn] == messages.LIMIT_REACHED
+        error_code(harness.send(conn, type="hello", name="x", tenant="a")) == "full"
+        and harness.close_codes[conn] == messages.LIMIT_REACHED
     )
 
 
@@ -358,32 +367,32 @@
     harness = HubHarness()
     conn = harness.open_session()
     harness.handle(chat_hub.Received(conn, message.encode()))
-    assert code(harness.told[conn]) == words and not harness.submitted
+    assert error_code(harness.received[conn]) == words and not harness.submitted
     assert harness.command(conn) == [messages.Accepted("c1")]
 
 
 def test_before_hello_nothing_else_is_taken() -> None:
     harness = HubHarness()
     conn = harness.open()
-    assert code(harness.command(conn)) == "no_session" and not harness.submitted
+    assert error_code(harness.command(conn)) == "no_session" and not harness.submitted
     assert (
-        code(harness.send(conn, type="resume", token="x")) == "bad_token"
-        and harness.shut[conn] == messages.BAD_TOKEN
+        error_code(harness.send(conn, type="resume", token="x")) == "bad_token"
+        and harness.close_codes[conn] == messages.BAD_TOKEN
     )
     conn = harness.open()
-    assert code(harness.send(conn, type="hello", name="x", tenant="none")) == "bad_tenant"
+    assert error_code(harness.send(conn, type="hello", name="x", tenant="none")) == "bad_tenant"
 
 
 def test_operators_prove_themselves_for_this_connection_alone() -> None:
     harness = HubHarness()
     conn, other = harness.open(), harness.open()
-    nonces = {c: harness.told[c][0].nonce for c in (conn, other)}
+    nonces = {c: harness.received[c][0].nonce for c in (conn, other)}
     shown = proof(KEY, nonces[conn], "operator", "", "ann")
     for wrong in (shown[:-1] + "x", proof(KEY, nonces[conn], "player", "", "ann"), "", "é"):
         bad = harness.open()
-        assert code(harness.send(bad, type="hello", name="ann", role="operator", proof=wrong)) == "bad_proof"
-        assert harness.shut[bad] == messages.BAD_HELLO
-    assert code(harness.send(other, type="hello", name="ann", role="operator", proof=shown)) == "bad_proof", (
+        assert error_code(harness.send(bad, type="hello", name="ann", role="operator", proof=wrong)) == "bad_proof"
+        assert harness.close_codes[bad] == messages.BAD_HELLO
+    assert error_code(harness.send(other, type="hello", name="ann", role="operator", proof=shown)) == "bad_proof", (
         "replayed"
     )
     assert isinstance(
@@ -391,15 +400,15 @@
     )
     harness.command(conn, "q", "/status")
     assert harness.other == [chat_hub.Query(conn, "q", "status")]
-    assert code(harness.command(conn, "e", "/entry cup")) == "unknown_command" and not harness.submitted
+    assert error_code(harness.command(conn, "e", "/entry cup")) == "unknown_command" and not harness.submitted
     harness.command(conn, "f", "/follow")
     harness.handle(chat_hub.News("build 2 came"))
-    assert harness.told[conn][-1] == messages.Report("build 2 came")
+    assert harness.received[conn][-1] == messages.Report("build 2 came")
     harness.handle(chat_hub.Closed(conn))
     harness.handle(chat_hub.News("nobody listens"))
     closed = HubHarness(anonymous=False)
     conn = closed.open()
-    assert code(closed.send(conn, type="hello", name="x", tenant="a")) == "bad_proof"
+    assert error_code(closed.send(conn, type="hello", name="x", tenant="a")) == "bad_proof"
 
 
 def test_handshakes_are_paced_and_unused_slots_are_not_kept() -> None:
@@ -412,13 +421,13 @@
 
 # --- tokens and grammar ---
 def test_tokens_are_taken_whole_and_under_their_key_only() -> None:
-    resume = ResumeToken(1, 2, 3, 4, "a", "p", "player")
-    token = encode_token(KEY, resume)
-    assert decode_token(KEY, token) == resume and decode_token(bytes(32), token) is None
+    resume_token = ResumeToken(1, 2, 3, 4, "a", "p", "player")
+    token = encode_token(KEY, resume_token)
+    assert decode_token(KEY, token) == resume_token and decode_token(bytes(32), token) is None
     for i in range(len(token)):
         assert decode_token(KEY, token[:i]) is None
         changed = token[:i] + ("A" if token[i] != "A" else "B") + token[i + 1 :]
-        assert decode_token(KEY, changed) in (None, resume), "unused bits of the last letter may differ"
+        assert decode_token(KEY, changed) in (None, resume_token), "unused bits of the last letter may differ"
     assert decode_token(KEY, "x" * 2000) is None and decode_token(KEY, "ü") is None
     assert verify_proof(KEY, proof(KEY, "n", "player", "a", "p"), "n", "player", "a", "p")
 
@@ -497,7 +506,7 @@
         self.ran: dict[str, int] = {}
         self.lossy = False
 
-    def _note(self) -> None:
+    def _count_submissions(self) -> None:
         for submit in self.harness.submitted:
             self.ran[submit.key] = self.ran.get(submit.key, 0) + 1
         self.harness.submitted.clear()
@@ -507,13 +516,13 @@
         return self.harness.open_session()
 
     @rule(target=tokens, conn=sockets)
-    def keep(self, conn: int) -> str:
+    def save_token(self, conn: int) -> str:
         return self.harness.token(conn)
 
     @rule(conn=sockets, number=st.integers(0, 9))
     def type(self, conn: int, number: int) -> None:
         self.harness.command(conn, f"c{number}", f"/entry w{number}")
-        self._note()
+        self._count_submissions()
 
     @rule(conn=sockets, number=st.integers(0, 9))
     def ack(self, conn: int, number: int) -> None:
@@ -528,11 +537,11 @@
         self.harness.send(conn, type="bye")
 
     @rule(target=sockets, token=tokens, numbers=st.lists(st.integers(0, 9), max_size=4))
-    def back(self, token: str, numbers: list[int]) -> int:
+    def resume(self, token: str, numbers: list[int]) -> int:
         # after a restart that lost records a client must name all that it holds open
-        conn, told = self.harness.back(token, *(f"c{n}" for n in (range(10) if self.lossy else numbers)))
-        self._note()
-        if code(told) in ("stale_token", "bad_token"):
+        conn, received = self.harness.resume(token, *(f"c{n}" for n in (range(10) if self.lossy else numbers)))
+        self._count_submissions()
+        if error_code(received) in ("stale_token", "bad_token"):
             return self.harness.open_session()
         return conn
 
@@ -558,15 +567,15 @@
 
     @invariant()
     def one_answer_a_socket_and_command_between_resends(self) -> None:
-        for told in self.harness.told.values():
+        for received in self.harness.received.values():
             kinds: dict[str, set[str]] = {}
-            for message in told:
+            for message in received:
                 if isinstance(message, messages.Answer):
                     kinds.setdefault(message.id, set()).add(message.kind)
             assert all(len(found) == 1 for found in kinds.values())
 
     @invariant()
-    def the_books_agree(self) -> None:
+    def hub_state_is_consistent(self) -> None:
         hub = self.harness.hub
         for session in hub._sessions.values():
             open = [e for e in session.entries.values() if e.answer is None]
--- a/tests/test_chat_night.py
+++ b/tests/test_chat_night.py
@@ -152,12 +152,12 @@
     )
     day = day.model_copy(update={"duration": 2500.0, "fault": [slow, kill], "build": {}})
     found = {}
-    for name, (hub, decider, _) in GUARDS.items():
+    for name, (hub_class, decider, _) in GUARDS.items():
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("otterquay.chat.gateway.chat_hub.Hub", hub)
+            patch.setattr("otterquay.chat.gateway.chat_hub.Hub", hub_class)
             hosts = simulated(service, 5, decider=decider, agent=Forgetful if name in LOSSES else SimAgent)
             world = ChatWorld(
-                day, service, 5, hosts, client_count=150, pause_s=0.5, fault_share=0.5, patience_s=1.0
+                day, service, 5, hosts, client_count=150, pause_s=0.5, fault_share=0.5, drain_timeout_s=1.0
             )
             simulate(world.run(), 5)
         found[name] = judge(world.tape, unsafe_commands(service))["violations"]
