--- a/otterquay/chat/__init__.py
+++ b/otterquay/chat/__init__.py
@@ -1,1 +1,1 @@
-"""Chat commands over WebSocket: sessions that outlive sockets, and one final answer to each command."""
+"""Chat commands over WebSocket: sessions that outlive their sockets, and one final answer per command."""
--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -1,7 +1,7 @@
-"""The WebSocket side of chat (RFC 6455, permessage-deflate of RFC 7692): sockets to hub events, actions to sockets.
+"""The WebSocket server of chat: turns what sockets receive into hub events, and carries out the hub's actions.
 
-The protocol itself is the websockets library's, without its I/O; frames, masks, UTF-8, fragments, compression and
-the bound on a message after decompression are its affair.
+Implements RFC 6455 with permessage-deflate (RFC 7692) on the sans-I/O layer of the websockets library. The library
+handles frames, masking, fragmentation, compression and the limit on the size of a decompressed message.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 from otterquay.store import Store
 
 READ_BYTES = 65536
-HANDSHAKE_TIMEOUT_S = 5.0  # for a client's request and for a relay's connection; not a matter of the module
+HANDSHAKE_TIMEOUT_S = 5.0  # for a client's upgrade request, and for connecting to the agent that holds a session
 TICK_INTERVAL_S = 0.25
 
 
 @dataclass(slots=True, eq=False)
 class WebSocket:
-    """One WebSocket over asyncio streams, either side."""
+    """A WebSocket connection over asyncio streams, as server or as client."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -51,24 +51,24 @@
     _complete: list[bytes] = field(default_factory=list)
 
     def flush(self) -> None:
-        """Write what the protocol has ready."""
+        """Write the bytes that the protocol has ready to send."""
         for data in self.protocol.data_to_send():
             if self.writer.is_closing():
                 continue
             if data:
                 self.writer.write(data)
             elif self.writer.can_write_eof():
-                with contextlib.suppress(OSError):  # the peer may have gone first
+                with contextlib.suppress(OSError):  # the peer may have closed the connection already
                     self.writer.write_eof()
 
     def send(self, data: bytes) -> None:
-        """Send a text message; nothing once the connection closes."""
+        """Send a text message; does nothing once the connection is closing."""
         if self.protocol.state is State.OPEN:
             self.protocol.send_text(data)
             self.flush()
 
     def close(self, code: int, reason: str) -> None:
-        """Begin the closing handshake."""
+        """Start the closing handshake."""
         try:
             self.protocol.send_close(code, reason)
         except InvalidState:
@@ -76,7 +76,7 @@
         self.flush()
 
     async def receive(self) -> bool:
-        """Hand the next bytes to the protocol; False at their end."""
+        """Read bytes and feed them to the protocol; False at the end of the stream."""
         data = await self.reader.read(READ_BYTES)
         if not data:
             self.protocol.receive_eof()
@@ -87,7 +87,7 @@
         return True
 
     def messages(self) -> list[bytes]:
-        """Whole messages that have come; refuses binary ones."""
+        """Return the text messages completed since the last call; a binary message closes the connection."""
         for event in self.protocol.events_received():
             if isinstance(event, Frame):
                 self.handle_frame(event)
@@ -95,9 +95,9 @@
         return complete
 
     def handle_frame(self, frame: Frame) -> None:
-        """Take a data frame; control frames are the protocol's affair."""
+        """Collect a data frame; control frames are handled by the protocol."""
         if frame.opcode is Opcode.BINARY:
-            self.close(1003, "text messages only")
+            self.close(1003, "only text messages are supported")
         elif frame.opcode in (Opcode.TEXT, Opcode.CONT):
             self._fragments.append(bytes(frame.data))
             if frame.fin:
@@ -105,40 +105,44 @@
                 self._fragments.clear()
                 try:
                     text.decode()
-                except UnicodeDecodeError:  # RFC 6455 section 8.1; the library leaves it to its caller
-                    self.protocol.fail(1007, "not UTF-8")
+                except UnicodeDecodeError:  # RFC 6455 section 8.1; left to the caller by the library
+                    self.protocol.fail(1007, "invalid UTF-8")
                     self.flush()
                 else:
                     self._complete.append(text)
 
 
 class CommandRequester:
-    """An asker in the decision module's books on behalf of one command."""
+    """The client of one request that was submitted for a chat command; reports its progress to the hub."""
 
     def __init__(self, ref: int, feed: Callable[[chat_hub.Event], None]) -> None:
         self.number: int | None = None
         self._ref, self._feed = ref, feed
 
     def final(self, answer: Final) -> None:
-        """The one final answer."""
+        """Pass the final answer to the hub."""
         self.number = None
         text = answer.body.decode("utf-8", "replace").strip()
         self._feed(chat_hub.Finished(self._ref, answer.kind, text, answer.retry_after_ms))  # type: ignore[arg-type]
 
     def attempt(self, count: int) -> None:
-        """An attempt was sent."""
+        """Tell the hub that an attempt was sent."""
         self._feed(chat_hub.Attempted(self._ref, count))
 
     def settled(self) -> None:
-        """Nothing waits behind it."""
+        """Nothing to do: no other request waits for this one."""
 
     def left(self) -> bool:
-        """A session outlives its sockets."""
+        """Always False: a command is not abandoned when its socket closes, as its session outlives the socket."""
         return False
 
 
 class Gateway:
-    """The chat listener of one agent; `take` and `ask` are its decision runtime's."""
+    """The chat listener of one agent.
+
+    `submit_request` and `query` come from the agent's runtime: the first submits a request to the decision module,
+    the second returns a report for an operator.
+    """
 
     def __init__(
         self,
@@ -166,7 +170,7 @@
         self._relays: dict[int, WebSocket] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._last_conn_id = 0
-        # who waits longer than a session is kept comes too late for it
+        # a client that waits longer than resume_within finds its session expired
         self._handshake_pacer = HandshakePacer(
             service.chat.handshake_rate, service.chat.handshake_burst, service.chat.resume_within / 1e3
         )
@@ -175,7 +179,7 @@
         self._stopping = False
 
     async def start(self) -> tuple[str, int]:
-        """Listen; returns host and port. OSError when the address cannot be had."""
+        """Start listening; returns host and port. Raises OSError when the address cannot be bound."""
         host, port = split_address(self._settings.listen)
         self._server = await asyncio.start_server(self._serve, host, port, backlog=4096)
         name = self._server.sockets[0].getsockname()
@@ -186,24 +190,24 @@
         return str(name[0]), int(name[1])
 
     def stop_listening(self) -> None:
-        """Take no new socket."""
+        """Stop accepting connections."""
         self._stopping = True
         if self._server:
             self._server.close()
 
     def close(self) -> None:
-        """Close all sockets: clients may come back elsewhere or later."""
+        """Close all sockets with code 1012 (service restart): clients may resume at another agent, or later."""
         self.stop_listening()
         if self._timer:
             self._timer.cancel()
         for websocket in [*self._websockets.values(), *self._relays.values()]:
-            websocket.close(1012, "the agent ends")
+            websocket.close(1012, "the agent is shutting down")
             websocket.writer.close()
         for task in list(self._tasks):
             task.cancel()
 
     def abort(self) -> None:
-        """End as a killed process does: no word to anyone."""
+        """Abort all connections without a closing handshake, as when the process is killed."""
         for websocket in [*self._websockets.values(), *self._relays.values()]:
             websocket.writer.transport.abort()
         self._websockets.clear()
@@ -211,7 +215,7 @@
         self.close()
 
     def feed(self, event: chat_hub.Event) -> None:
-        """One event to the hub, its actions carried out in order."""
+        """Pass an event to the hub and carry out its actions in order."""
         for action in self.hub.handle(asyncio.get_running_loop().time() * 1e3, event):
             self._perform(action)
 
@@ -254,7 +258,7 @@
         tenant = self._tenants.get(submit.tenant, 0)
         ask = Ask(http, cls, tenant, key, self._deadlines[cls], None, False)
         if not self._submit_request(ask, CommandRequester(submit.ref, self.feed)):
-            self.feed(chat_hub.Finished(submit.ref, "refused", "nothing more is taken", 1000.0))
+            self.feed(chat_hub.Finished(submit.ref, "refused", "the agent accepts no more requests", 1000.0))
 
     # --- sockets ---
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -281,12 +285,12 @@
         except TimeoutError:
             self._log.info("chat_handshake_slow")
         except (OSError, RuntimeError, asyncio.CancelledError):
-            pass  # the client (RuntimeError: in uvloop's words) or the loop has gone
+            pass  # the client has disconnected (uvloop raises RuntimeError then), or the loop is stopping
         finally:
             if self._websockets.pop(conn_id, None):
                 self.feed(chat_hub.Closed(conn_id))
             if relay := self._relays.pop(conn_id, None):
-                relay.close(1001, "the client has gone")
+                relay.close(1001, "the client has disconnected")
                 relay.writer.close()
             writer.close()
 
@@ -300,9 +304,9 @@
                 if isinstance(event, Request):
                     response = protocol.accept(event)
                     if response.status_code == 101 and protocol.subprotocol != messages.SUBPROTOCOL:
-                        response = protocol.reject(400, f"speak subprotocol {messages.SUBPROTOCOL}\n")
+                        response = protocol.reject(400, f"subprotocol {messages.SUBPROTOCOL} is required\n")
                     elif response.status_code == 101 and self._stopping:
-                        response = protocol.reject(503, "the agent ends\n")
+                        response = protocol.reject(503, "the agent is shutting down\n")
                     if response.status_code != 101:
                         self._log.info("chat_handshake_refused", status=response.status_code)
                     protocol.send_response(response)
@@ -335,7 +339,7 @@
                 return
 
     def _tick(self) -> None:
-        """Sessions' times, and pings: a socket that is silent for two periods is gone."""
+        """Check the hub's timeouts and ping idle sockets; one that is silent for two ping intervals is aborted."""
         loop = asyncio.get_running_loop()
         self.feed(chat_hub.Tick())
         now, ping_interval_s = loop.time(), self._settings.ping_every / 1e3
@@ -352,9 +356,9 @@
                 websocket.flush()
         self._timer = loop.call_later(min(TICK_INTERVAL_S, ping_interval_s / 2), self._tick)
 
-    # --- sessions held by another agent ---
+    # --- relaying to the agent that holds a session ---
     async def _relay(self, conn_id: int, home: int, first: bytes) -> None:
-        """Carry a resuming client's messages to and from the agent that holds its session."""
+        """Relay messages between a resuming client and the agent that holds its session."""
         address = self._settings.agents.get(str(home))
         upstream: WebSocket | None = None
         try:
@@ -382,16 +386,19 @@
                 if upstream.protocol.state is State.CLOSED:
                     break
         except (OSError, RuntimeError):
-            pass  # uvloop calls a connection that has gone the latter
+            pass  # uvloop raises RuntimeError for a connection that was closed
         finally:
             upstream.writer.close()
-            if self._relays.pop(conn_id, None):  # the holder has ended: the client comes back and learns more
+            if self._relays.pop(conn_id, None):  # upstream has closed; the client reconnects and is told more
                 code = upstream.protocol.close_code
-                websocket.close(code if code and code != 1006 else 1012, "the holding agent ended the connection")
+                websocket.close(
+                    code if code and code != 1006 else 1012,
+                    "the agent that holds the session closed the connection",
+                )
 
 
 async def _first_message(websocket: WebSocket) -> bytes | None:
-    """The first message on a connection."""
+    """Return the first message on a connection, None when it closes before."""
     while True:
         if found := websocket.messages():
             return found[0]
@@ -400,7 +407,7 @@
 
 
 async def dial(address: str, max_message: int = 1 << 20) -> WebSocket:
-    """An open WebSocket to a gateway; OSError when there is none to be had."""
+    """Connect to a gateway; raises OSError when that fails."""
     protocol = ClientProtocol(
         parse_uri(f"ws://{address}/"), subprotocols=[Subprotocol(messages.SUBPROTOCOL)], max_size=max_message
     )
@@ -416,6 +423,6 @@
             if isinstance(event, Response) and event.status_code != 101:
                 writer.close()
                 raise ConnectionRefusedError(f"{address} answered {event.status_code}")
-            if isinstance(event, Frame):  # messages may come with the handshake
+            if isinstance(event, Frame):  # messages may arrive together with the handshake's response
                 websocket.handle_frame(event)
     return websocket
--- a/otterquay/chat/grammar.py
+++ b/otterquay/chat/grammar.py
@@ -1,4 +1,4 @@
-"""What players type, as a grammar (lark): `/name word "quoted words" --option --option=value`."""
+"""The grammar of typed commands (lark): `/name argument "quoted argument" --option --option=value`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CommandSyntaxError(Exception):
-    """Not a command; `column` counts from 1."""
+    """The text is not a command; `column` is where parsing failed, counted from 1."""
 
     def __init__(self, reason: str, column: int) -> None:
         super().__init__(f"{reason}, at column {column}")
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedCommand:
-    """A command as typed; options without a value have an empty one."""
+    """A parsed command; an option without a value has an empty string as its value."""
 
     name: str
     arguments: tuple[str, ...]
@@ -62,9 +62,9 @@
 
 
 def parse(text: str) -> ParsedCommand:
-    """The command in a line; Mistyped says where it goes wrong."""
+    """Parse one command; raises CommandSyntaxError with the column of the first error."""
     if len(text) > MAX_TEXT_CHARS:
-        raise CommandSyntaxError(f"over {MAX_TEXT_CHARS} characters", MAX_TEXT_CHARS + 1)
+        raise CommandSyntaxError(f"longer than {MAX_TEXT_CHARS} characters", MAX_TEXT_CHARS + 1)
     try:
         parsed = _PARSER.parse(text)
     except UnexpectedInput as error:
--- a/otterquay/chat/handshake_pacer.py
+++ b/otterquay/chat/handshake_pacer.py
@@ -1,4 +1,4 @@
-"""Pacing of handshakes, without I/O: when all clients return at once, those that are there do not wait for them."""
+"""Rate limit for handshakes, without I/O: a mass reconnect must not delay the clients that are connected."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class HandshakePacer:
-    """Slots `1 / rate` seconds apart; a slot that nobody took is not kept, beyond `burst` of them.
+    """Assigns slots `1 / rate` seconds apart; at most `burst` unused slots are saved up.
 
-    One whose slot would be more than `most` seconds away gets none: a crowd that has gone must not hold up who
-    comes after it.
+    A connection whose slot would be more than `max_wait_s` seconds away gets none: clients that have given up
+    meanwhile must not delay later ones.
     """
 
     rate: float
@@ -19,7 +19,7 @@
     _next_slot: float = float("-inf")
 
     def reserve_slot(self, now: float) -> float | None:
-        """Seconds from `now` until this one's slot; each call takes one, but None takes none."""
+        """Reserve the next slot and return the seconds until it; None, reserving none, when it is too far away."""
         slot = max(self._next_slot, now - self.burst / self.rate) + 1 / self.rate
         if slot - now > self.max_wait_s:
             return None
--- a/otterquay/chat/hub.py
+++ b/otterquay/chat/hub.py
@@ -1,10 +1,10 @@
-"""Sessions and the command ledger of one agent, without I/O: events and `now` in, actions out.
+"""Chat sessions and the command ledger of one agent, without I/O: takes events and the time, returns actions.
 
-A session is connected, greeted (authenticated), detached when its socket ends, resumed on another one, and closed
-when it says bye or stays away too long. A command is accepted once by its id, submitted once to the decision
-module, and gets one final answer, which is kept until the client has acknowledged it. The module decides how a
-command is routed, retried and refused; this one decides only who may ask, how much, and who gets which answer.
-Times are milliseconds.
+A session starts with a hello, is detached when its socket closes, can be resumed on another socket, and ends with a
+bye or when it stays detached for too long. A command is accepted once by its id, submitted once to the decision
+module, and gets one final answer, which is kept until the client acknowledges it. The decision module routes,
+retries and refuses commands; the hub only authenticates clients, enforces limits and delivers answers.
+All times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 from otterquay.config.schema import Chat
 
 
-# --- what is kept over a restart ---
+# --- records that outlast a restart ---
 class StoredSession(msgspec.Struct, array_like=True, frozen=True):
-    """A session as it is written down."""
+    """The stored form of a session."""
 
     tenant: str
     name: str
@@ -33,7 +33,7 @@
 
 
 class StoredEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A command as it is written down; `retired` tells that its answer was acknowledged and dropped."""
+    """The stored form of a command; `retired` means that its answer was acknowledged and has been dropped."""
 
     text: str
     answer: messages.Answer | None = None
@@ -43,7 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    """Write down a session (no id) or one of its commands; with no record remove it, a session with all it has."""
+    """Store the record of a session (empty `id`) or of one of its commands.
+
+    None as the record deletes it; deleting a session deletes its commands, too.
+    """
 
     session: int
     id: str
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredSessions:
-    """What was written down before a restart, under the life that tokens of then name."""
+    """The records of before a restart, and the incarnation that the resume tokens of that time name."""
 
     incarnation: int
     sessions: dict[int, tuple[StoredSession, dict[str, StoredEntry]]]
@@ -61,7 +64,7 @@
 # --- events ---
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """A socket has opened, from this address."""
+    """A socket was opened by a client at this address."""
 
     conn_id: int
     address: str
@@ -69,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """A whole text message came."""
+    """A complete text message was received."""
 
     conn_id: int
     text: bytes
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """A socket has ended."""
+    """A socket was closed."""
 
     conn_id: int
 
@@ -109,14 +112,14 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """Something that following operators want to hear."""
+    """A line of news for the operators that sent /follow."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """Periodic event; checks timeouts."""
 
 
 Event = Opened | Received | Closed | Finished | Attempted | HomeUnreachable | News | Tick
@@ -125,7 +128,7 @@
 # --- actions ---
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Write a message."""
+    """Send a message on a socket."""
 
     conn_id: int
     message: messages.Outgoing
@@ -142,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Hand a command to the decision module, as a request of class `cls`."""
+    """Submit a command to the decision module as a request of class `cls`."""
 
     ref: int
     cls: str
@@ -154,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """Carry this socket's messages to and from the agent that holds its session, `first` first."""
+    """Proxy this socket to agent `home`, which holds its session; `first` is the first message to forward."""
 
     conn_id: int
     home: int
@@ -163,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """An operator's question for the agent."""
+    """A query of an operator, to be answered by the agent."""
 
     conn_id: int
     id: str
@@ -176,7 +179,7 @@
 # --- state ---
 @dataclass(slots=True)
 class TokenBucket:
-    """A token bucket: `rate` a second, `burst` at most."""
+    """A token bucket that refills at `rate` tokens per second up to `burst`."""
 
     rate: float
     burst: float
@@ -197,7 +200,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One command of the ledger; `answer` is None while it is open."""
+    """A command in the ledger of its session; `answer` is None while the command is open."""
 
     id: str
     text: str
@@ -207,7 +210,12 @@
 
 @dataclass(slots=True)
 class Session:
-    """One session; `conn` is None while it is detached."""
+    """A session; `conn_id` is None while it is detached.
+
+    `secrets` are the token secrets that may resume it: the last one that the client is known to have received, and
+    those issued since. `retired` holds the ids of answers that were dropped. `restored` is set from a restart until
+    the first resume: the newest records may have been lost in the restart.
+    """
 
     id: int
     tenant: str
@@ -215,17 +223,17 @@
     role: Role
     conn_id: int | None
     bucket: TokenBucket
-    secrets: list[int] = field(default_factory=list)  # the last one shown to be in use, and those given since
+    secrets: list[int] = field(default_factory=list)
     detached_at: float = 0.0
     entries: OrderedDict[str, Entry] = field(default_factory=OrderedDict)
-    retired: OrderedDict[str, None] = field(default_factory=OrderedDict)  # ids of answers no longer kept
+    retired: OrderedDict[str, None] = field(default_factory=OrderedDict)
     following: bool = False
-    restored: bool = False  # its newest records may be missing: none of its client has come back since a restart
+    restored: bool = False
 
 
 @dataclass(slots=True)
 class _Connection:
-    """One socket."""
+    """An open socket; `resuming` and `token` are set when its session is held by another agent."""
 
     address: str
     nonce: str
@@ -238,16 +246,15 @@
 
 OPERATOR_COMMANDS = "status, votes, follow"
 RESTARTED_TEXT = "the agent was restarted while this command was open"
-MAX_VALID_TOKENS = 16  # tokens of a session that are good at once
-RETIRED_IDS_PER_KEPT_ANSWER = (
-    16  # ids of dropped answers that a session remembers, for each answer that it may keep
-)
+MAX_VALID_TOKENS = 16  # per session
+RETIRED_IDS_PER_KEPT_ANSWER = 16  # ids of dropped answers that a session remembers, per answer that it may keep
 
 
 class Hub:
-    """All sessions of one agent. `key` is shared by the group; `life` differs at every start that recalls nothing.
+    """All sessions of one agent.
 
-    With `keeps` what must outlast a restart comes as Keep actions.
+    `key` is shared by all agents of the group. `incarnation` is new at every start that does not restore stored
+    sessions. With `persistent`, records that must outlast a restart are emitted as Persist actions.
     """
 
     def __init__(
@@ -280,7 +287,10 @@
         self.counts = dict.fromkeys(("accepted", "answered", "unknown", "dropped", "resumed", "expired"), 0)
 
     def restore(self, now: float, stored: StoredSessions) -> None:
-        """Take up sessions of before a restart; nobody knows what became of an open command: its id is spent."""
+        """Restore the sessions of before a restart.
+
+        Whether a command that was open then has run is not known: it is answered `unknown`, and never run again.
+        """
         self._incarnation = stored.incarnation
         for id, (stored_session, entries) in stored.sessions.items():
             bucket = TokenBucket(
@@ -316,16 +326,16 @@
 
     @property
     def sessions(self) -> int:
-        """Sessions held, attached or not."""
+        """Number of sessions, detached ones included."""
         return len(self._sessions)
 
     @property
     def open_commands(self) -> int:
-        """Commands submitted and not yet answered."""
+        """Number of commands submitted and not yet answered."""
         return len(self._submitted)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """What to do about an event, in order."""
+        """Handle an event; returns the actions to carry out, in order."""
         self._now, self._actions = now, []
         match event:
             case Opened(conn_id, address):
@@ -383,8 +393,9 @@
     def _tick(self) -> None:
         for conn_id, connection in list(self._connections.items()):
             if connection.session is None and self._now - connection.opened_at >= self._settings.hello_within:
-                self._disconnect(conn_id, messages.NO_HELLO, "no hello in time")
-        # one that has filled up again is as good as a new one, and tenants may be any name
+                self._disconnect(conn_id, messages.NO_HELLO, "no hello or resume within the time limit")
+        # Drops full buckets, which equal new ones: where no tenants are configured, clients may send any name,
+        # and the buckets would grow without bound.
         self._tenant_buckets = {
             name: bucket for name, bucket in self._tenant_buckets.items() if not bucket.is_full(self._now)
         }
@@ -394,7 +405,7 @@
                 self._remove_session(session)
 
     def _remove_session(self, session: Session) -> None:
-        """The session is closed; commands that are out run on, their answers reach nobody."""
+        """End a session; its open commands keep running, and their answers are dropped."""
         del self._sessions[session.id]
         if self._persistent:
             self._actions.append(Persist(session.id, "", None))
@@ -412,8 +423,9 @@
                     return self._hello(conn_id, connection, message)
                 case messages.ResumeHello():
                     return self._resume(conn_id, connection, message)
-            return self._send(conn_id, messages.Problem("no_session", "say hello first"))
-        if session.secrets != [connection.secret]:  # the client has this connection's welcome
+            return self._send(conn_id, messages.Problem("no_session", "send hello or resume first"))
+        # Any message shows that the client has received this connection's welcome.
+        if session.secrets != [connection.secret]:
             session.secrets = [connection.secret]
             self._save(session)
         match message:
@@ -427,14 +439,14 @@
                 self._remove_session(session)
                 self._disconnect(conn_id, 1000, "bye")
             case _:
-                self._send(conn_id, messages.Problem("in_session", "this connection has its session"))
+                self._send(conn_id, messages.Problem("in_session", "this connection already has a session"))
 
     def _hello(self, conn_id: int, connection: _Connection, hello: messages.Hello) -> None:
         proved = bool(hello.proof) and verify_proof(
             self._key, hello.proof, connection.nonce, hello.role, hello.tenant, hello.name
         )
         if not proved and (hello.role != "player" or not self._settings.anonymous or hello.proof):
-            self._send(conn_id, messages.Problem("bad_proof", "the proof does not fit this connection"))
+            self._send(conn_id, messages.Problem("bad_proof", "the proof is not valid for this connection"))
             return self._disconnect(conn_id, messages.BAD_HELLO, "bad proof")
         if hello.role == "player" and self._tenants and hello.tenant not in self._tenants:
             self._send(conn_id, messages.Problem("bad_tenant", "no such tenant"))
@@ -445,8 +457,8 @@
         self, conn_id: int, connection: _Connection, tenant: str, name: str, role: Role
     ) -> Session | None:
         if len(self._sessions) >= self._settings.max_sessions:
-            self._send(conn_id, messages.Problem("full", "no more sessions here"))
-            self._disconnect(conn_id, messages.LIMIT_REACHED, "no more sessions here")
+            self._send(conn_id, messages.Problem("full", "the session limit of this agent is reached"))
+            self._disconnect(conn_id, messages.LIMIT_REACHED, "the session limit of this agent is reached")
             return None
         bucket = TokenBucket(
             self._settings.session_rate, self._settings.session_burst, self._settings.session_burst, self._now
@@ -458,7 +470,8 @@
 
     def _attach(self, conn_id: int, connection: _Connection, session: Session, resumed: bool) -> None:
         connection.session, session.conn_id, connection.secret = session, conn_id, self._rng.getrandbits(63) + 1
-        # welcomes may be lost, and two returns at once may cross: which one the client has is not yet known
+        # A welcome may be lost, and two concurrent resumes may overlap. It is not known yet which token the client
+        # has, so those issued since the last confirmed one stay valid.
         session.secrets = [*session.secrets[:1], *session.secrets[1:][2 - MAX_VALID_TOKENS :], connection.secret]
         self._save(session)
         token = encode_token(
@@ -477,11 +490,11 @@
             conn_id, messages.Welcome(token, resumed, int(self._settings.resume_within), self._settings.max_open)
         )
 
-    # --- coming back ---
+    # --- resuming ---
     def _resume(self, conn_id: int, connection: _Connection, message: messages.ResumeHello) -> None:
         token = decode_token(self._key, message.token)
         if token is None or connection.resuming:
-            self._send(conn_id, messages.Problem("bad_token", "this is no token of ours"))
+            self._send(conn_id, messages.Problem("bad_token", "not a valid resume token"))
             return self._disconnect(conn_id, messages.BAD_TOKEN, "bad token")
         if token.home != self._agent_number:
             connection.resuming, connection.token = message, token
@@ -490,11 +503,11 @@
         if session is None:
             return self._replace_lost_session(conn_id, connection, token, message)
         if token.secret not in session.secrets:
-            if session.restored:  # given after the last record that lasted
+            if session.restored:  # issued after the last durable record
                 return self._replace_lost_session(conn_id, connection, token, message)
-            self._send(conn_id, messages.Problem("stale_token", "a later token was given"))
+            self._send(conn_id, messages.Problem("stale_token", "a later token has been issued"))
             return self._disconnect(conn_id, messages.BAD_TOKEN, "stale token")
-        if session.conn_id is not None:  # the newest socket holds the session
+        if session.conn_id is not None:  # the newest socket takes over the session
             previous_conn_id, session.conn_id = session.conn_id, None
             self._connections[previous_conn_id].session = None
             self._disconnect(previous_conn_id, messages.TAKEN_OVER, "resumed elsewhere")
@@ -506,24 +519,28 @@
                 self.counts["unknown"] += 1
                 self._save(session, session.entries[id])
         for entry in session.entries.values():
-            # an answer may have been shown whose record did not last: then the client does not ask for it
+            # The client may have received an answer whose record was lost in the restart; it does not list that
+            # command as open then, and must not get `unknown` after the answer.
             if entry.answer and not entry.acked and (entry.answer.kind != "unknown" or entry.id in message.open):
                 self._send(conn_id, entry.answer)
         session.restored = False
-        for id in message.open:  # sent on a socket that ended before they came: they never ran
+        for id in message.open:  # never received: the socket closed before they arrived
             if id not in session.entries and id not in session.retired:
                 self._send(
-                    conn_id, messages.Problem("not_here", "this command never came; it may be sent again", id)
+                    conn_id, messages.Problem("not_here", "this command was not received; it may be sent again", id)
                 )
 
     def _replace_lost_session(
         self, conn_id: int, connection: _Connection, token: ResumeToken, message: messages.ResumeHello
     ) -> None:
-        """Nobody knows what became of the session's commands: say so, and never run them under their ids."""
+        """Start a new session in place of one that is lost.
+
+        What became of its commands is not known: they are answered `unknown`, and their ids never run again.
+        """
         session = self._create_session(conn_id, connection, token.tenant, token.name, token.role)
         for id in message.open if session else ():
             assert session is not None
-            answer = messages.Answer(id, "unknown", "the agent that held this command is gone")
+            answer = messages.Answer(id, "unknown", "the session that held this command is lost")
             session.entries[id] = Entry(id, "", answer)
             self._save(session, session.entries[id])
             self.counts["unknown"] += 1
@@ -532,16 +549,20 @@
     # --- commands ---
     def _command(self, conn_id: int, session: Session, message: messages.Command) -> None:
         id = message.id
-        if entry := session.entries.get(id):  # the same id is the same command
+        if entry := session.entries.get(id):  # a repeated id is the same command
             if entry.text and entry.text != message.text:
                 return self._send(
-                    conn_id, messages.Problem("other_command", "this id stands for another command", id)
+                    conn_id, messages.Problem("other_command", "this id was used for another command", id)
                 )
             return self._send(conn_id, entry.answer or messages.Accepted(id))
         if id in session.retired:
-            return self._send(conn_id, messages.Problem("already_answered", "its answer was acknowledged", id))
+            return self._send(
+                conn_id, messages.Problem("already_answered", "its answer was already acknowledged", id)
+            )
         if not session.bucket.try_take(self._now):
-            return self._send(conn_id, messages.Problem("rate_session", "too many commands a second", id))
+            return self._send(
+                conn_id, messages.Problem("rate_session", "too many commands per second in this session", id)
+            )
         try:
             parsed = parse(message.text)
         except CommandSyntaxError as error:
@@ -551,7 +572,7 @@
         command = self._settings.command.get(parsed.name)
         if command is None:
             known = ", ".join(f"/{name}" for name in self._settings.command)
-            return self._send(conn_id, messages.Problem("unknown_command", f"there are {known}", id))
+            return self._send(conn_id, messages.Problem("unknown_command", f"known commands: {known}", id))
         unknown_options = [name for name, _ in parsed.options if name not in command.options]
         if unknown_options or not command.least_words <= len(parsed.arguments) <= command.most_words:
             allowed = f"{command.least_words} to {command.most_words} words, options {command.options}"
@@ -569,7 +590,9 @@
             ),
         )
         if not bucket.try_take(self._now):
-            return self._send(conn_id, messages.Problem("rate_tenant", "too many commands of this tenant", id))
+            return self._send(
+                conn_id, messages.Problem("rate_tenant", "too many commands per second of this tenant", id)
+            )
         self._last_ref += 1
         entry = session.entries[id] = Entry(id, message.text)
         self._submitted[self._last_ref] = session, entry
@@ -588,7 +611,7 @@
         self._actions.append(Submit(self._last_ref, command.class_, session.tenant, key, command.target, body))
 
     def _drop_acknowledged_entry(self, session: Session) -> bool:
-        """Drop the oldest acknowledged answer; its id stays known as answered for long."""
+        """Drop the oldest acknowledged answer, but keep its id, so that a repeat of the command is recognized."""
         for id, entry in session.entries.items():
             if entry.acked:
                 del session.entries[id]
@@ -608,7 +631,7 @@
         if name == "follow":
             session.following = True
             return self._send(conn_id, messages.Report("following", id))
-        self._send(conn_id, messages.Problem("unknown_command", f"operators have {OPERATOR_COMMANDS}", id))
+        self._send(conn_id, messages.Problem("unknown_command", f"commands for operators: {OPERATOR_COMMANDS}", id))
 
     def _finished(self, event: Finished) -> None:
         found = self._submitted.pop(event.ref, None)
--- a/otterquay/chat/messages.py
+++ b/otterquay/chat/messages.py
@@ -1,4 +1,4 @@
-"""The chat protocol's messages, `otterquay.chat.v1`: JSON objects, one a WebSocket text message."""
+"""Messages of the chat protocol `otterquay.chat.v1`: one JSON object per WebSocket text message."""
 
 from __future__ import annotations
 
@@ -13,16 +13,14 @@
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Short = Annotated[str, Meta(max_length=256)]
 
-# close codes of our own (RFC 6455 section 7.4.2)
-BAD_HELLO, TAKEN_OVER, BAD_TOKEN, TOO_SLOW, LIMIT_REACHED, NO_HELLO, SILENT = (
-    4001,
-    4002,
-    4003,
-    4004,
-    4005,
-    4008,
-    4009,
-)
+# close codes in the range for private use (RFC 6455 section 7.4.2)
+BAD_HELLO = 4001
+TAKEN_OVER = 4002
+BAD_TOKEN = 4003
+TOO_SLOW = 4004
+LIMIT_REACHED = 4005
+NO_HELLO = 4008
+SILENT = 4009
 
 
 class _ClientMessage(msgspec.Struct, frozen=True, tag_field="type", forbid_unknown_fields=True):
@@ -30,7 +28,7 @@
 
 
 class Hello(_ClientMessage, frozen=True, tag="hello"):
-    """Begin a session; `proof` as in chat.tokens.proof, over the nonce of the challenge."""
+    """Start a session; `proof` is computed by `chat.tokens.proof` over the nonce of the challenge."""
 
     name: Name
     tenant: Short = ""
@@ -39,27 +37,27 @@
 
 
 class ResumeHello(_ClientMessage, frozen=True, tag="resume"):
-    """Come back to a session; `open` are the commands whose answers the client still waits for."""
+    """Resume a session; `open` lists the commands that the client still waits for."""
 
     token: Annotated[str, Meta(max_length=1024)]
     open: Annotated[list[Id], Meta(max_length=256)] = []
 
 
 class Command(_ClientMessage, frozen=True, tag="command"):
-    """A command; the same id is the same command, however often it comes."""
+    """A command; a repeated id stands for the same command, which runs once."""
 
     id: Id
     text: Annotated[str, Meta(max_length=4000)]
 
 
 class Ack(_ClientMessage, frozen=True, tag="ack"):
-    """The client has the final answer; it is not sent again."""
+    """Acknowledge a final answer; it is not sent again."""
 
     id: Id
 
 
 class Bye(_ClientMessage, frozen=True, tag="bye"):
-    """The client ends its session; what is open runs on, its answers are dropped."""
+    """End the session; open commands keep running, and their answers are dropped."""
 
 
 Incoming = Hello | ResumeHello | Command | Ack | Bye
@@ -70,13 +68,13 @@
 
 
 class Challenge(_ServerMessage, frozen=True, tag="challenge"):
-    """The first word on a connection."""
+    """The first message on a connection."""
 
     nonce: str
 
 
 class Welcome(_ServerMessage, frozen=True, tag="welcome"):
-    """The session is there; the token of the last welcome resumes it."""
+    """A session was started or resumed; the token of the latest welcome resumes it."""
 
     token: str
     resumed: bool
@@ -85,7 +83,7 @@
 
 
 class Accepted(_ServerMessage, frozen=True, tag="accepted"):
-    """The command will get one final answer."""
+    """The command is accepted and will get one final answer."""
 
     id: str
 
@@ -98,7 +96,10 @@
 
 
 class Answer(_ServerMessage, frozen=True, tag="answer"):
-    """The final answer. `refused`: repeating is harmless; `failed`: no promise; `unknown`: nobody here knows."""
+    """The final answer to a command.
+
+    `refused`: repeating it is harmless; `failed`: it may or may not have run; `unknown`: its outcome is lost.
+    """
 
     id: str
     kind: Literal["served", "refused", "failed", "unknown"]
@@ -107,7 +108,7 @@
 
 
 class Problem(_ServerMessage, frozen=True, tag="error"):
-    """What was sent was not taken; a command named here has not run."""
+    """A message was rejected; it did not start the command named by `id`, if any."""
 
     code: str
     text: str
@@ -115,7 +116,7 @@
 
 
 class Report(_ServerMessage, frozen=True, tag="report"):
-    """The answer to an operator's question, or news that an operator follows."""
+    """The answer to a query of an operator, or a line of news for one that sent /follow."""
 
     text: str
     id: str = ""
@@ -128,10 +129,10 @@
 
 
 def decode(text: bytes) -> Incoming:
-    """A message of a client; msgspec.MsgspecError says what is wrong with it."""
+    """Decode a message of a client; raises msgspec.MsgspecError when it is invalid."""
     return _DECODER.decode(text)
 
 
 def encode(message: Outgoing) -> bytes:
-    """A message for a client."""
+    """Encode a message for a client."""
     return _ENCODER.encode(message)
--- a/otterquay/chat/session_store.py
+++ b/otterquay/chat/session_store.py
@@ -1,8 +1,8 @@
-"""What of the chat sessions is kept over a restart: records of the hub to and from the store's tables.
+"""Persistence of chat sessions over a restart: writes the hub's records to tables of the store and loads them.
 
-Nothing waits for the disk: a session or command whose record had not lasted is, after a restart, one that nobody
-knows of, as all are without a store. So that this is no worse under the rules, a restored session gives `unknown`
-and never another run for a command that its records do not answer.
+Writes are asynchronous, and nothing waits for the disk: a session or command whose record was not yet durable is
+lost in a restart, as all are without a store. To keep a command from running twice, a restored session answers
+`unknown` to a command of before the restart that its records do not answer, and never runs it again.
 """
 
 from __future__ import annotations
@@ -17,13 +17,16 @@
 
 
 class SessionStore:
-    """The tables of one agent's chat."""
+    """The chat tables in the store of one agent."""
 
     def __init__(self, store: Store, log: Logger) -> None:
         self._store, self._log = store, log
 
     def load(self, new_incarnation: int) -> StoredSessions:
-        """What was kept, with the life that its tokens name; `fresh` is that of a hub that begins with nothing."""
+        """Load all records, and the incarnation that their tokens name.
+
+        `new_incarnation` is stored and used where none is stored yet; it is used, too, when loading fails.
+        """
         try:
             incarnation = self._store.get(INCARNATION_TABLE, b"life")
             if incarnation is None:
@@ -36,12 +39,12 @@
                 if found := sessions.get(int.from_bytes(key[:8])):
                     found[1][key[8:].decode()] = msgspec.msgpack.decode(value, type=StoredEntry)
             return StoredSessions(int.from_bytes(incarnation), sessions)
-        except Exception as error:  # without it all tokens are orphans, as without a store
+        except Exception as error:  # every session is lost then, as without a store
             self._log.warning("chat_recall_failed", reason=f"{type(error).__name__}: {error}")
             return StoredSessions(new_incarnation, {})
 
     def save(self, action: Persist) -> None:
-        """Write a record, or remove one."""
+        """Write or delete a record."""
         session_key = action.session.to_bytes(8)
         changes: list[Change]
         match action.record:
--- a/otterquay/chat/tokens.py
+++ b/otterquay/chat/tokens.py
@@ -1,8 +1,8 @@
-"""Proofs and resume tokens: keyed BLAKE3 over MessagePack, without a clock.
+"""Authentication proofs and resume tokens: MessagePack authenticated with keyed BLAKE3, without a clock.
 
-A proof answers a nonce that the gateway drew for one connection, so a recorded one is worth nothing. A resume token
-names the session, the life of the agent that holds it and a secret that changes at each resume; how long it is good
-for is known to that agent alone, which knows when the session lost its socket.
+A proof covers the nonce that the gateway drew for one connection, so it cannot be replayed on another. A resume
+token names the session, the incarnation of the agent that holds it, and a secret that changes at each resume. It
+carries no expiry time: the agent that holds the session decides, as it knows when the session lost its socket.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ResumeToken(msgspec.Struct, frozen=True, array_like=True):
-    """What a resume token says."""
+    """The content of a resume token; `home` is the number of the agent that holds the session."""
 
     home: int
     incarnation: int
@@ -38,23 +38,23 @@
 
 
 def proof(key: bytes, nonce: str, role: Role, tenant: str, name: str) -> str:
-    """What a client shows that holds the key, for the nonce of its connection."""
+    """Compute the proof that a client holds the key, for the nonce of its connection."""
     return _mac(key, b"proof", msgspec.msgpack.encode((nonce, role, tenant, name))).hex()
 
 
 def verify_proof(key: bytes, presented: str, nonce: str, role: Role, tenant: str, name: str) -> bool:
-    """Whether a proof is right; takes as long for a wrong one."""
+    """Verify a proof in constant time."""
     return hmac.compare_digest(presented.encode(), proof(key, nonce, role, tenant, name).encode())
 
 
 def encode_token(key: bytes, resume: ResumeToken) -> str:
-    """A resume token as text that fits a URL."""
+    """Encode and authenticate a resume token as URL-safe text."""
     data = msgspec.msgpack.encode(resume)
     return base64.urlsafe_b64encode(_mac(key, b"resume", data) + data).decode().rstrip("=")
 
 
 def decode_token(key: bytes, token: str) -> ResumeToken | None:
-    """What a token says, or None for one that is forged or malformed."""
+    """Verify and decode a token; None when it is forged or malformed."""
     if len(token) > MAX_TOKEN_CHARS:
         return None
     try:
--- a/otterquay/lab/chat.py
+++ b/otterquay/lab/chat.py
@@ -1,4 +1,4 @@
-"""Chat nights: scripted clients against real agents, judged from what clients and matchmakers saw."""
+"""Chat scenarios: scripted clients against real agents, checked by what clients and stand-in servers recorded."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True, eq=False)
 class ChatWorld(World):
-    """A world whose traffic types. `clients` people in all, each `pause_s` apart."""
+    """A world whose traffic is chat: `client_count` clients, each with `pause_s` between commands on average."""
 
     client_count: int = 200
     pause_s: float = 1.0
     fault_share: float = 0.3
-    drain_timeout_s: float = 5.0  # past the longest deadline, how long clients wait for what is open
+    drain_timeout_s: float = 5.0  # wait for open commands at the end, beyond the longest deadline
     chat_clients: list[ChatClient] = field(default_factory=list)
 
     async def _traffic(self) -> None:
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True)
 class _CommandHistory:
-    """All that is known of one command."""
+    """Everything that the tape holds on one command."""
 
     command: str
     at: float
@@ -60,7 +60,7 @@
 
 
 def judge(tape: tp.Tape, unsafe: set[str]) -> dict[str, Any]:
-    """Counts and violations of a chat night; `unsafe` are the commands whose class must never run twice."""
+    """Count outcomes and list violations; `unsafe` are the commands whose class must never run twice."""
     histories: dict[str, _CommandHistory] = {}
     ends = [c for c in tape.crossings if isinstance(c, tp.AgentDown)]
     starts = [c for c in tape.crossings if isinstance(c, tp.AgentUp)]
@@ -98,9 +98,9 @@
             counts["answered_twice"] += 1
             violations.append(f"{op}: answered {sorted(kinds)}")
         if "unknown" in kinds and not any(history.at - 1 <= restart_time for restart_time in restart_times):
-            violations.append(f"{op}: unknown, though no agent died")
+            violations.append(f"{op}: unknown, though no agent was restarted since")
         if not_taken and history.runs:
-            violations.append(f"{op}: not taken, but it ran at server {history.runs[0].server}")
+            violations.append(f"{op}: rejected, but it ran at server {history.runs[0].server}")
         if history.command not in unsafe:
             continue
         counts["entry_commands"] += 1
@@ -109,7 +109,7 @@
             counts["entry_spent_twice"] += 1
             violations.append(f"{op}: spent {len(history.runs)} times")
         if "refused" in kinds and history.runs:
-            violations.append(f"{op}: refused as harmless, but spent at server {history.runs[0].server}")
+            violations.append(f"{op}: refused as not run, but spent at server {history.runs[0].server}")
         if "served" in kinds and not history.runs:
             violations.append(f"{op}: served, but never spent")
     names = (
@@ -130,5 +130,5 @@
 
 
 def unsafe_commands(service: Any) -> set[str]:
-    """The typed commands whose class must never run twice."""
+    """Names of the commands whose class must never run twice."""
     return {name for name, c in service.chat.command.items() if service.class_[c.class_].effect == "unsafe"}
--- a/otterquay/standins/chat.py
+++ b/otterquay/standins/chat.py
@@ -1,4 +1,4 @@
-"""Scripted chat clients: they type, lose sockets at random points, come back here or elsewhere."""
+"""Scripted chat clients: they send commands, lose sockets at random points, and resume at any agent."""
 
 from __future__ import annotations
 
@@ -18,7 +18,11 @@
 
 @dataclass(slots=True, eq=False)
 class ChatClient:
-    """One client and its session. `agents` are the chat addresses by number; `up` those that run."""
+    """A client and its session.
+
+    `agents` maps agent numbers to chat addresses, `running_agents` holds the agents that run. `open` maps the id of
+    a command without an answer to its text, `answered` the id of an answered one to the kind of its answer.
+    """
 
     number: int
     tape: Tape
@@ -32,7 +36,7 @@
     websocket: WebSocket | None = None
     token: str = ""
     welcomed: bool = False
-    open: dict[str, str] = field(default_factory=dict)  # op: text, until its answer has come
+    open: dict[str, str] = field(default_factory=dict)
     answered: dict[str, str] = field(default_factory=dict)
     waits: list[float] = field(default_factory=list)
     _sent_at: dict[str, float] = field(default_factory=dict)
@@ -40,7 +44,7 @@
     _stalled_until: float = 0.0
 
     async def run(self, until: float, pause_s: float, drain_timeout_s: float) -> None:
-        """Type until `until`, then wait for what is open as long as that takes, at most `patience_s`."""
+        """Send commands until `until`, then wait for open ones, for at most `drain_timeout_s`."""
         loop = asyncio.get_running_loop()
         self.agent_number = self.rng.randrange(len(self.agents))
         next_at = loop.time() + self.rng.uniform(0, pause_s)
@@ -53,7 +57,7 @@
                 next_at = loop.time() + self.rng.expovariate(1 / pause_s)
                 await self._send_command()
             else:
-                poll_until = loop.time() + 0.2  # before it is welcome, a client's next command does not fall due
+                poll_until = loop.time() + 0.2  # without a session, the next command is not yet due
                 await self._receive_until(
                     min(next_at, poll_until) if self.welcomed and loop.time() < until else poll_until
                 )
@@ -107,7 +111,7 @@
                 token=self.token,
                 open=dict(self.open),
             )
-            if self.token and await duplicate._connect():  # a twin with the same token at the same time
+            if self.token and await duplicate._connect():  # a second client with the same token at the same time
                 asyncio.get_running_loop().call_later(0.1, duplicate._abort_connection)
                 self._duplicate = duplicate.websocket
                 duplicate._send(type="resume", token=self.token, open=list(self.open))
@@ -122,7 +126,7 @@
     _duplicate: WebSocket | None = None
 
     async def _receive_until(self, deadline: float) -> None:
-        """Take what comes until `due`."""
+        """Handle received messages until `deadline`."""
         loop, websocket = asyncio.get_running_loop(), self.websocket
         if self._stalled_until > loop.time():
             return await asyncio.sleep(min(deadline, self._stalled_until) - loop.time())
@@ -171,7 +175,7 @@
 
     def _handle_error(self, message: dict[str, Any], now: float) -> None:
         code, op = message["code"], message.get("id", "")
-        if code == "stale_token":  # what is open is lost to us; the judge will say so
+        if code == "stale_token":  # open commands are lost then, which the judge reports as unanswered
             self.token = ""
         elif code == "not_here" and op in self.open:
             self._send(type="command", id=op, text=self.open[op])
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway on real sockets: WebSocket conformance, hostile bytes, slow readers, resume here and elsewhere."""
+"""Tests of the gateway on real sockets: conformance, hostile input, slow readers, resuming at any agent."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ChatRig(Rig):
-    """A rig whose agent has a gateway."""
+    """A rig whose agent has a chat gateway."""
 
     def __init__(self, servers: int = 2, **chat: Any) -> None:
         assert SERVICE.chat
@@ -57,7 +57,7 @@
         return "{}:{}".format(*self.runtime.chat_bound)
 
     async def open_session(self, **hello: Any) -> ChatConnection:
-        """A client with a session."""
+        """Connect a client and start its session."""
         client = ChatConnection(await dial(self.chat_at))
         assert (await client.next())["type"] == "challenge"
         client.send(type="hello", **{"name": "p", "tenant": "first-studio", **hello})
@@ -65,7 +65,7 @@
         return client
 
     async def resume(self, client: ChatConnection, *open: str) -> ChatConnection:
-        """A client that comes back."""
+        """Connect again and resume the session of a client."""
         again = ChatConnection(await dial(self.chat_at))
         await again.next()
         again.send(type="resume", token=client.welcome["token"], open=list(open))
@@ -74,7 +74,7 @@
 
 
 class ChatConnection:
-    """A client's side of one socket."""
+    """The client side of one socket."""
 
     def __init__(self, websocket: WebSocket) -> None:
         self.websocket, self.got, self.welcome = websocket, list[dict[str, Any]](), dict[str, Any]()
@@ -83,7 +83,7 @@
         self.websocket.send(json.dumps(message).encode())
 
     async def next(self, kind: str = "") -> dict[str, Any]:
-        """The next message, of a kind if one is named."""
+        """The next message, or the next of a kind."""
         async with asyncio.timeout(20):
             while True:
                 self.got += [json.loads(m) for m in self.websocket.messages()]
@@ -96,7 +96,7 @@
                 self.websocket.flush()
 
     async def code(self) -> int | None:
-        """The close code, once closed."""
+        """Read until the connection is closed; returns the close code."""
         try:
             while True:
                 await self.next()
@@ -104,7 +104,7 @@
             return self.websocket.protocol.close_code
 
 
-def test_a_typed_command_reaches_a_matchmaker_and_its_answer_the_player() -> None:
+def test_a_command_reaches_a_server_and_its_answer_the_player() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             client = await rig.open_session()
@@ -120,7 +120,7 @@
     run(work)
 
 
-def test_a_socket_lost_mid_entry_finds_its_answer_and_the_entry_ran_once() -> None:
+def test_a_command_runs_once_and_its_answer_arrives_when_the_socket_is_lost_meanwhile() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             held: list[Any] = []
@@ -136,12 +136,12 @@
             right(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             assert len(held) == 1 and len(rig.seen(it.Request)) == 1
-            assert not rig.seen(it.Abandoned), "a lost socket abandons no command"
+            assert not rig.seen(it.Abandoned), "a lost socket must not abandon a command"
 
     run(work)
 
 
-def test_an_agent_that_was_killed_leaves_unknown_never_harmless() -> None:
+def test_after_an_agent_was_killed_its_open_commands_are_answered_unknown() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             for server in rig.servers:
@@ -178,7 +178,7 @@
             client = await home.open_session()
             client.send(type="command", id="e1", text="/entry cup")
             await home.until(lambda: held)
-            again = await other.resume(client, "e1")  # while the first socket still waits
+            again = await other.resume(client, "e1")  # while the first socket is still open
             assert again.welcome["resumed"] and await client.code() == messages.TAKEN_OVER
             right(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
@@ -194,7 +194,7 @@
     run(work)
 
 
-def test_a_reader_that_stops_is_cut_off_keeps_its_session_and_holds_up_nobody() -> None:
+def test_a_client_that_stops_reading_is_disconnected_and_delays_no_other() -> None:
     async def work() -> None:
         async with ChatRig(max_unsent=20000, session_rate=1e6, session_burst=1e6, max_open=1000) as rig:
             client, other = await rig.open_session(), await rig.open_session(name="q")
@@ -226,7 +226,7 @@
             live, dead = await rig.open_session(), await rig.open_session(name="q")
             live.send(type="command", id="l1", text="/lobby")
             assert (await live.next("answer"))["kind"] == "served"
-            waiting = asyncio.ensure_future(live.next())  # reads, so that its library answers pings
+            waiting = asyncio.ensure_future(live.next())  # reading lets the library answer pings
             await rig.until(lambda: len(rig.runtime.gateway._websockets) == 1)  # type: ignore[union-attr]
             await asyncio.sleep(0.4)
             assert not waiting.done() and len(rig.runtime.gateway._websockets) == 1  # type: ignore[union-attr]
@@ -236,7 +236,7 @@
     run(work)
 
 
-def test_operators_ask_and_follow() -> None:
+def test_operators_query_and_follow() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             client = ChatConnection(await dial(rig.chat_at))
@@ -277,7 +277,7 @@
     run(work)
 
 
-# --- conformance: cases of RFC 6455 as public test suites name them ---
+# --- conformance: cases of RFC 6455, numbered as in public test suites ---
 def frame(opcode: int, data: bytes, fin: bool = True, rsv: int = 0, masked: bool = True, length: int = -1) -> bytes:
     size = len(data) if length < 0 else length
     head = bytes([fin << 7 | rsv << 4 | opcode])
@@ -314,7 +314,7 @@
         frame(TEXT, HELLO[:5], fin=False) + frame(PING, b"") + frame(CONT, HELLO[5:]),
         WELCOME,
     ),
-    "5.9 continuation of nothing": (frame(CONT, HELLO), 1002),
+    "5.9 continuation without a first fragment": (frame(CONT, HELLO), 1002),
     "5.18 text within a fragmented message": (frame(TEXT, b"{", fin=False) + frame(TEXT, HELLO), 1002),
     "5.x empty fragments": (
         frame(TEXT, b"", fin=False) + frame(CONT, HELLO, fin=False) + frame(CONT, b""),
@@ -392,7 +392,7 @@
     run(work)
 
 
-def test_handshakes_that_are_none() -> None:
+def test_invalid_handshakes_are_refused() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             for subprotocol in (None, "otterquay.chat.v9", "soap"):
@@ -421,7 +421,7 @@
     return (packer.compress(data) + packer.flush(zlib.Z_SYNC_FLUSH))[:-4]
 
 
-def test_compressed_messages_and_bombs() -> None:
+def test_compressed_messages_and_decompression_bombs() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             offer = "sec-websocket-extensions: permessage-deflate; client_max_window_bits"
@@ -458,8 +458,8 @@
     st.randoms(use_true_random=False),
 )
 @settings(max_examples=150, deadline=None)
-def test_any_frames_leave_the_gateway_whole(frames: list[Any], cut: int, rng: random.Random) -> None:
-    """Frames of any kind in any cutting, without sockets: the protocol either goes on or closes, never fails."""
+def test_any_frames_are_handled_without_an_error(frames: list[Any], cut: int, rng: random.Random) -> None:
+    """Frames of any kind, split anywhere, without sockets: the protocol continues or closes, and never raises."""
     from websockets.server import ServerProtocol
 
     from otterquay.chat import gateway as gw
--- a/tests/test_chat_hub.py
+++ b/tests/test_chat_hub.py
@@ -1,4 +1,4 @@
-"""The session core and command ledger, the grammar and the tokens: no sockets, no clock."""
+"""Tests of the hub, the command grammar and the tokens, without sockets or a clock."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class HubHarness:
-    """A hub with a clock; remembers what each socket was told and what was submitted."""
+    """Drives a hub with a manual clock and records its actions, messages by socket."""
 
     def __init__(self, agent_number: int = 0, incarnation: int = 7, **changes: Any) -> None:
         self.hub = chat_hub.Hub(
@@ -63,7 +63,7 @@
         return actions
 
     def restart(self, lost: int = 0) -> None:
-        """The agent is killed and begins anew with what it wrote down, but for the newest records."""
+        """Restart the agent from its stored records, without the newest `lost` ones."""
         del self.persisted[len(self.persisted) - lost :]
         sessions: dict[int, tuple[chat_hub.StoredSession, dict[str, chat_hub.StoredEntry]]] = {}
         for persist in self.persisted:
@@ -88,7 +88,7 @@
         return self.conns
 
     def send(self, conn: int, **message: Any) -> list[Any]:
-        """Send a message; what this socket is told for it."""
+        """Send a message; returns what this socket receives in response."""
         before = len(self.received.get(conn, []))
         self.handle(chat_hub.Received(conn, msgspec.json.encode(message)))
         return self.received.get(conn, [])[before:]
@@ -143,7 +143,7 @@
     assert harness.command(conn) == [messages.Answer("c1", "served", "ok")]
     assert error_code(harness.command(conn, text="/entry other")) == "other_command"
     harness.send(conn, type="ack", id="c1")
-    for i in range(200):  # far past what is kept
+    for i in range(200):  # far more than the number of answers kept
         harness.now += 1000
         harness.command(conn, f"d{i}")
         harness.finish()
@@ -152,7 +152,7 @@
     assert len(harness.submitted) == 201
 
 
-def test_an_answer_that_came_meanwhile_is_told_at_the_return_until_acknowledged() -> None:
+def test_an_answer_given_while_detached_is_sent_at_each_resume_until_acknowledged() -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn)
@@ -168,7 +168,7 @@
     assert harness.resume(harness.token(once_more))[1][1:] == []
 
 
-def test_what_never_came_may_be_sent_again_and_what_came_is_not_run_twice() -> None:
+def test_a_command_never_received_may_be_sent_again_and_a_received_one_does_not_run_twice() -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn, "c1")
@@ -183,43 +183,45 @@
     )
     harness.handle(
         chat_hub.Received(conn, b'{"type":"command","id":"c2","text":"/entry x"}')
-    )  # the old socket is dead
+    )  # the old socket is closed
     harness.command(again, "c2")
     harness.command(again, "c1")
     assert [s.key.rsplit(".", 1)[1] for s in harness.submitted] == ["c1", "c2"]
 
 
-def test_the_newest_of_two_returns_holds_the_session_and_a_token_is_good_once() -> None:
+def test_the_newest_resume_holds_the_session_and_a_confirmed_token_ends_older_ones() -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn)
     token = harness.token(conn)
     one, _ = harness.resume(token, "c1")
     assert harness.close_codes[conn] == messages.TAKEN_OVER
-    two, received = harness.resume(token, "c1")  # its first welcome may have been lost: still good
+    two, received = harness.resume(
+        token, "c1"
+    )  # the welcome of the first resume may have been lost: the token is still valid
     assert received[0].resumed and harness.close_codes[one] == messages.TAKEN_OVER
-    for _ in range(3):  # any number of welcomes may be lost in a row
+    for _ in range(3):  # any number of consecutive welcomes may be lost
         two, received = harness.resume(token, "c1")
         assert received[0].resumed
     crossed = harness.token(two)
-    two, _ = harness.resume(token, "c1")  # a second return with the old token takes it over from the new one
+    two, _ = harness.resume(token, "c1")  # a second resume with the old token takes over from the first
     two, received = harness.resume(crossed, "c1")
-    assert received[0].resumed, "the client that has the new token was not locked out"
+    assert received[0].resumed, "the client that has the newer token must be able to resume"
     harness.finish()
     assert [isinstance(m, messages.Answer) for m in harness.received[two]].count(True) == 1
     assert not any(isinstance(m, messages.Answer) for m in harness.received[one])
-    harness.send(two, type="ack", id="c1")  # the client has shown that it has the new token
+    harness.send(two, type="ack", id="c1")  # any message confirms that the client has the new token
     three, received = harness.resume(token)
     assert error_code(received) == "stale_token" and harness.close_codes[three] == messages.BAD_TOKEN
 
 
-@pytest.mark.parametrize("lost", ["other life", "expired", "home gone"])
-def test_when_nobody_knows_the_answer_is_unknown_and_the_command_never_runs(lost: str) -> None:
+@pytest.mark.parametrize("lost", ["other incarnation", "expired", "home unreachable"])
+def test_a_command_of_a_lost_session_is_answered_unknown_and_never_runs(lost: str) -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn)
     token = harness.token(conn)
-    if lost == "other life":
+    if lost == "other incarnation":
         harness = HubHarness(incarnation=8)
         again, received = harness.resume(token, "c1")
     elif lost == "expired":
@@ -263,10 +265,12 @@
     assert len(harness.submitted) == ran + 1 and harness.submitted[-1].key.startswith("7.")
     harness.handle(chat_hub.Closed(again))
     _, received = harness.resume(harness.token(again), "later")
-    assert error_code(received) == "not_here", "by now all is known again"
+    assert error_code(received) == "not_here", (
+        "after the first resume, an id that was never received is known to be unsent"
+    )
 
 
-def test_an_answer_shown_whose_record_was_lost_is_not_followed_by_another() -> None:
+def test_an_answer_received_whose_record_was_lost_is_not_followed_by_another() -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn)
@@ -277,7 +281,7 @@
     assert received[0].resumed and not [m for m in received if isinstance(m, messages.Answer)]
 
 
-def test_a_token_given_after_the_last_record_that_lasted_is_an_orphans() -> None:
+def test_a_token_issued_after_the_last_durable_record_starts_a_new_session() -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn)
@@ -289,7 +293,7 @@
     assert not received[0].resumed and received[1].kind == "unknown" and len(harness.submitted) == 1
 
 
-def test_an_answer_after_the_session_is_gone_reaches_nobody_and_disturbs_nothing() -> None:
+def test_an_answer_after_the_session_has_ended_is_dropped() -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.command(conn)
@@ -301,7 +305,7 @@
     assert harness.hub.counts["dropped"] == 1 and harness.hub.open_commands == 0
 
 
-def test_each_excess_has_its_own_code_and_the_command_did_not_run() -> None:
+def test_each_exceeded_limit_has_its_own_code_and_the_command_does_not_run() -> None:
     harness = HubHarness(max_open=2, session_burst=100.0, tenant_burst=4.0, tenant_rate=1.0, max_kept=3)
     conn, other = harness.open_session(), harness.open_session("b")
     assert [error_code(harness.command(conn, f"c{i}")) for i in range(3)] == ["", "", "too_many_open"]
@@ -315,7 +319,7 @@
     harness.finish()
     harness.send(conn, type="ack", id="c1")
     assert error_code(harness.command(conn, "c5")) == "rate_tenant"
-    assert error_code(harness.command(other, "c1")) == "", "another tenant is not held up"
+    assert error_code(harness.command(other, "c1")) == "", "another tenant is not limited"
     assert len(harness.submitted) == 5
     slow = HubHarness(session_rate=1.0, session_burst=2.0)
     conn = slow.open_session()
@@ -343,7 +347,7 @@
 
 
 @pytest.mark.parametrize(
-    ("message", "words"),
+    ("message", "expected_code"),
     [
         ("{", "bad_message"),
         ("[]", "bad_message"),
@@ -363,15 +367,17 @@
         ("[" * 5000, "bad_message"),
     ],
 )
-def test_what_is_no_message_or_no_command_gets_its_code_and_nothing_runs(message: str, words: str) -> None:
+def test_an_invalid_message_or_command_gets_its_error_code_and_nothing_runs(
+    message: str, expected_code: str
+) -> None:
     harness = HubHarness()
     conn = harness.open_session()
     harness.handle(chat_hub.Received(conn, message.encode()))
-    assert error_code(harness.received[conn]) == words and not harness.submitted
+    assert error_code(harness.received[conn]) == expected_code and not harness.submitted
     assert harness.command(conn) == [messages.Accepted("c1")]
 
 
-def test_before_hello_nothing_else_is_taken() -> None:
+def test_before_hello_other_messages_are_rejected() -> None:
     harness = HubHarness()
     conn = harness.open()
     assert error_code(harness.command(conn)) == "no_session" and not harness.submitted
@@ -383,7 +389,7 @@
     assert error_code(harness.send(conn, type="hello", name="x", tenant="none")) == "bad_tenant"
 
 
-def test_operators_prove_themselves_for_this_connection_alone() -> None:
+def test_the_proof_of_an_operator_is_valid_for_its_connection_only() -> None:
     harness = HubHarness()
     conn, other = harness.open(), harness.open()
     nonces = {c: harness.received[c][0].nonce for c in (conn, other)}
@@ -393,7 +399,7 @@
         assert error_code(harness.send(bad, type="hello", name="ann", role="operator", proof=wrong)) == "bad_proof"
         assert harness.close_codes[bad] == messages.BAD_HELLO
     assert error_code(harness.send(other, type="hello", name="ann", role="operator", proof=shown)) == "bad_proof", (
-        "replayed"
+        "a proof was replayed on another connection"
     )
     assert isinstance(
         harness.send(conn, type="hello", name="ann", role="operator", proof=shown)[-1], messages.Welcome
@@ -402,10 +408,10 @@
     assert harness.other == [chat_hub.Query(conn, "q", "status")]
     assert error_code(harness.command(conn, "e", "/entry cup")) == "unknown_command" and not harness.submitted
     harness.command(conn, "f", "/follow")
-    harness.handle(chat_hub.News("build 2 came"))
-    assert harness.received[conn][-1] == messages.Report("build 2 came")
+    harness.handle(chat_hub.News("build 2 was offered"))
+    assert harness.received[conn][-1] == messages.Report("build 2 was offered")
     harness.handle(chat_hub.Closed(conn))
-    harness.handle(chat_hub.News("nobody listens"))
+    harness.handle(chat_hub.News("no connected follower"))
     closed = HubHarness(anonymous=False)
     conn = closed.open()
     assert error_code(closed.send(conn, type="hello", name="x", tenant="a")) == "bad_proof"
@@ -420,14 +426,14 @@
 
 
 # --- tokens and grammar ---
-def test_tokens_are_taken_whole_and_under_their_key_only() -> None:
+def test_tokens_are_accepted_unaltered_and_under_their_key_only() -> None:
     resume_token = ResumeToken(1, 2, 3, 4, "a", "p", "player")
     token = encode_token(KEY, resume_token)
     assert decode_token(KEY, token) == resume_token and decode_token(bytes(32), token) is None
     for i in range(len(token)):
         assert decode_token(KEY, token[:i]) is None
         changed = token[:i] + ("A" if token[i] != "A" else "B") + token[i + 1 :]
-        assert decode_token(KEY, changed) in (None, resume_token), "unused bits of the last letter may differ"
+        assert decode_token(KEY, changed) in (None, resume_token), "unused bits of the last character may differ"
     assert decode_token(KEY, "x" * 2000) is None and decode_token(KEY, "ü") is None
     assert verify_proof(KEY, proof(KEY, "n", "player", "a", "p"), "n", "player", "a", "p")
 
@@ -442,7 +448,7 @@
         ('/x --note="two words" -1 a=b', ParsedCommand("x", ("-1", "a=b"), (("note", "two words"),))),
     ],
 )
-def test_what_players_type(text: str, typed: ParsedCommand) -> None:
+def test_parsing_of_commands(text: str, typed: ParsedCommand) -> None:
     assert parse(text) == typed
 
 
@@ -460,14 +466,14 @@
         ("/entry " + "x" * 2000, 2001),
     ],
 )
-def test_what_is_no_command_is_told_by_its_column(text: str, column: int) -> None:
+def test_a_syntax_error_names_its_column(text: str, column: int) -> None:
     with pytest.raises(CommandSyntaxError) as error:
         parse(text)
     assert error.value.column == column
 
 
 @given(st.text(max_size=60) | st.text('/ab "\\-= ', max_size=30))
-def test_any_text_is_a_command_or_mistyped(text: str) -> None:
+def test_any_text_parses_or_raises_a_syntax_error(text: str) -> None:
     try:
         typed = parse(text)
     except CommandSyntaxError:
@@ -477,7 +483,7 @@
 
 
 @given(st.lists(st.text(st.characters(blacklist_categories=("Cc", "Cs")), max_size=12), max_size=5))
-def test_quoting_carries_any_words(words: list[str]) -> None:
+def test_quoted_arguments_may_hold_any_text(words: list[str]) -> None:
     quoted = " ".join('"' + w.replace("\\", "\\\\").replace('"', '\\"') + '"' for w in words)
     assert parse(f"/say {quoted}".rstrip()).arguments == tuple(words)
 
@@ -486,16 +492,16 @@
 
 
 @given(st.binary(max_size=200) | OBJECTS)
-def test_any_bytes_as_a_message_disturb_nobody(data: bytes) -> None:
+def test_any_bytes_as_a_message_leave_other_sessions_working(data: bytes) -> None:
     harness = HubHarness()
     conn, other = harness.open_session(), harness.open_session("b")
     harness.handle(chat_hub.Received(conn, data))
     assert harness.command(other) == [messages.Accepted("c1")]
 
 
-# --- a state machine over the core, against a model ---
+# --- state machine test of the hub ---
 class Sessions(RuleBasedStateMachine):
-    """Clients that come, type, lose sockets and return; answers that come whenever they like."""
+    """Clients that connect, send commands, lose sockets and resume, with answers at any time."""
 
     sockets = Bundle("sockets")
     tokens = Bundle("tokens")
@@ -538,7 +544,7 @@
 
     @rule(target=sockets, token=tokens, numbers=st.lists(st.integers(0, 9), max_size=4))
     def resume(self, token: str, numbers: list[int]) -> int:
-        # after a restart that lost records a client must name all that it holds open
+        # after a restart that lost records a client must list all of its open commands
         conn, received = self.harness.resume(token, *(f"c{n}" for n in (range(10) if self.lossy else numbers)))
         self._count_submissions()
         if error_code(received) in ("stale_token", "bad_token"):
--- a/tests/test_chat_night.py
+++ b/tests/test_chat_night.py
@@ -1,4 +1,4 @@
-"""Whole chat nights: ten seeds of 200 clients, and nights with a guard taken out, which the judge must report."""
+"""Chat scenarios: ten seeds of 200 clients, and runs with a safeguard disabled, which the judge must report."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 SEEDS = range(1, 11)
 
 
-def test_ten_nights_of_two_hundred_clients_with_agents_in_processes() -> None:
+def test_ten_runs_of_two_hundred_clients_with_agents_in_processes() -> None:
     async def work() -> None:
-        slots = asyncio.Semaphore(3)  # a night is several processes; with five the cores run short
+        slots = asyncio.Semaphore(3)  # a run is several processes; five at once overload the cores
 
         async def night(seed: int) -> dict[str, Any]:
             async with slots:
@@ -53,14 +53,16 @@
             assert found["violations"] == [], (seed, found["violations"][:5])
             assert found["commands"] > 50 and found["answers"] + found["not_taken"] == found["commands"]
             assert found["entry_spent_twice"] == found["answered_twice"] == found["unanswered"] == 0
-            assert found["resumed"] > 5 and found["entry_spends"] > 5  # how many is a question of the machine
+            assert (
+                found["resumed"] > 5 and found["entry_spends"] > 5
+            )  # how many depends on the speed of the machine
 
     run(work)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_most_commands_of_a_night_are_served(seed: int) -> None:
-    """On simulated time, as the share served is not to hang on what else the machine does."""
+def test_most_commands_of_a_run_are_served(seed: int) -> None:
+    """Runs on simulated time, so that the share served does not depend on the load of the machine."""
     day, service = load_day(NIGHT)
     day = day.model_copy(update={"duration": 5000.0})
     world = ChatWorld(day, service, seed, simulated(service, seed), client_count=200)
@@ -71,7 +73,7 @@
 
 
 class ForgetsIds(chat_hub.Hub):
-    """Takes an id sent again for a new command."""
+    """Treats a repeated id as a new command."""
 
     def _command(self, conn_id: int, session: chat_hub.Session, message: messages.Command) -> None:
         session.entries.pop(message.id, None)
@@ -79,7 +81,7 @@
 
 
 class KeepsNoAnswers(chat_hub.Hub):
-    """Tells an answer to the socket that is there, or to nobody."""
+    """Drops an answer when the session is detached."""
 
     def _finished(self, event: chat_hub.Finished) -> None:
         if found := self._submitted.get(event.ref):
@@ -91,7 +93,7 @@
 
 
 class SilentOnLoss(chat_hub.Hub):
-    """Says nothing of commands that went with an agent."""
+    """Does not answer commands of a lost session."""
 
     def _replace_lost_session(
         self, conn_id: int, connection: Any, token: Any, message: messages.ResumeHello
@@ -100,7 +102,7 @@
 
 
 class RunsAgain(chat_hub.Hub):
-    """Takes what went with an agent for never run."""
+    """Reports commands of a lost session as never received."""
 
     def _replace_lost_session(
         self, conn_id: int, connection: Any, token: Any, message: messages.ResumeHello
@@ -111,7 +113,7 @@
 
 
 class AllAreSafe(Agent):
-    """Takes every class for safe to repeat."""
+    """Treats every class as safe to repeat."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
         classes = tuple(replace(c, effect=it.Effect.SAFE) for c in settings.classes)
@@ -132,7 +134,7 @@
 
 
 class Forgetful(SimAgent):
-    """An agent without a store that outlasts it."""
+    """An agent that loses its store in a restart."""
 
     async def start(self) -> str:
         self.disk = FaultDisk()
@@ -141,11 +143,11 @@
 
 @pytest.fixture(scope="module")
 def nights() -> dict[str, list[str]]:
-    """A night for each guard taken out, on simulated time."""
+    """The violations of one run per disabled safeguard, on simulated time."""
     day, service = load_day(NIGHT)
     slow, kill = (
         FaultPlan.model_validate(plan)
-        for plan in (  # so that much is open at the kill
+        for plan in (  # so that many commands are open at the kill
             {"kind": "slow_servers", "at": "1s", "lasts": "1200ms", "count": 8, "factor": 60},
             {"kind": "kill_agent", "at": "1600ms", "lasts": "300ms", "agent": 0},
         )
@@ -165,7 +167,7 @@
 
 
 @pytest.mark.parametrize("name", GUARDS)
-def test_each_check_fails_when_its_guard_is_out(nights: dict[str, list[str]], name: str) -> None:
+def test_each_check_fails_when_its_safeguard_is_disabled(nights: dict[str, list[str]], name: str) -> None:
     words = GUARDS[name][2]
     if not words:
         assert nights[name] == []
