--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -48,7 +48,7 @@
     last_received_s: float = 0.0
     ping_sent: bool = False
     _fragments: list[bytes] = field(default_factory=list)
-    _complete: list[bytes] = field(default_factory=list)
+    _complete_messages: list[bytes] = field(default_factory=list)
 
     def flush(self) -> None:
         """Write the bytes that the protocol has ready to send."""
@@ -91,7 +91,7 @@
         for event in self.protocol.events_received():
             if isinstance(event, Frame):
                 self.handle_frame(event)
-        complete, self._complete = self._complete, []
+        complete, self._complete_messages = self._complete_messages, []
         return complete
 
     def handle_frame(self, frame: Frame) -> None:
@@ -109,7 +109,7 @@
                     self.protocol.fail(1007, "invalid UTF-8")
                     self.flush()
                 else:
-                    self._complete.append(text)
+                    self._complete_messages.append(text)
 
 
 class CommandRequester:
--- a/otterquay/lab/chat.py
+++ b/otterquay/lab/chat.py
@@ -12,7 +12,7 @@
 from otterquay.standins import tape as tp
 from otterquay.standins.chat import ChatClient
 
-FINAL = ("served", "refused", "failed", "unknown")
+FINAL_KINDS = ("served", "refused", "failed", "unknown")
 
 
 @dataclass(slots=True, eq=False)
@@ -82,7 +82,7 @@
     for op, history in histories.items():
         history.runs = [r for r in runs_by_op.get(op, []) if not r.repeat]
         counts["commands"] += 1
-        final_answers = [w for w in history.notifications if w.word in FINAL and not w.again]
+        final_answers = [w for w in history.notifications if w.word in FINAL_KINDS and not w.again]
         kinds = {w.word for w in final_answers}
         counts["answers"] += bool(final_answers)
         for kind in kinds:
@@ -124,7 +124,7 @@
         "came_back_to_nothing",
         "not_taken",
         "answers_sent_again",
-        *(f"answered_{kind}" for kind in FINAL),
+        *(f"answered_{kind}" for kind in FINAL_KINDS),
     )
     return {**{name: counts[name] for name in names}, "violations": violations}
 
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -199,8 +199,8 @@
         async with ChatRig(max_unsent=20000, session_rate=1e6, session_burst=1e6, max_open=1000) as rig:
             client, other = await rig.open_session(), await rig.open_session(name="q")
             client.websocket.writer.transport.pause_reading()
-            near = client.websocket.writer.get_extra_info("socket")
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            client_socket = client.websocket.writer.get_extra_info("socket")
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             for websocket in rig.runtime.gateway._websockets.values():  # type: ignore[union-attr]
                 websocket.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             lost = False
@@ -464,7 +464,7 @@
 
     from otterquay.chat import gateway as gw
 
-    class Silent:
+    class NullWriter:
         def write(self, data: bytes) -> None: ...
 
         def is_closing(self) -> bool:
@@ -474,7 +474,7 @@
             return False
 
     protocol = ServerProtocol(max_size=4096, state=gw.State.OPEN)
-    websocket = WebSocket(None, Silent(), protocol)  # type: ignore[arg-type]
+    websocket = WebSocket(None, NullWriter(), protocol)  # type: ignore[arg-type]
     data = b"".join(frame(op, body, fin, rsv) for op, body, fin, rsv in frames)
     data = data[:cut] if rng.random() < 0.5 else data
     while data:
--- a/tests/test_chat_hub.py
+++ b/tests/test_chat_hub.py
@@ -43,7 +43,7 @@
         self.submitted: list[chat_hub.Submit] = []
         self.other: list[chat_hub.Action] = []
         self.persisted: list[chat_hub.Persist] = []
-        self.conns = 0
+        self.last_conn = 0
         self.args = agent_number, changes
 
     def handle(self, event: chat_hub.Event) -> list[chat_hub.Action]:
@@ -83,9 +83,9 @@
         self.hub.restore(self.now, chat_hub.StoredSessions(7, sessions))
 
     def open(self, address: str = "10.0.0.1") -> int:
-        self.conns += 1
-        self.handle(chat_hub.Opened(self.conns, address))
-        return self.conns
+        self.last_conn += 1
+        self.handle(chat_hub.Opened(self.last_conn, address))
+        return self.last_conn
 
     def send(self, conn: int, **message: Any) -> list[Any]:
         """Send a message; returns what this socket receives in response."""
@@ -203,9 +203,9 @@
     for _ in range(3):  # any number of consecutive welcomes may be lost
         two, received = harness.resume(token, "c1")
         assert received[0].resumed
-    crossed = harness.token(two)
+    newer_token = harness.token(two)
     two, _ = harness.resume(token, "c1")  # a second resume with the old token takes over from the first
-    two, received = harness.resume(crossed, "c1")
+    two, received = harness.resume(newer_token, "c1")
     assert received[0].resumed, "the client that has the newer token must be able to resume"
     harness.finish()
     assert [isinstance(m, messages.Answer) for m in harness.received[two]].count(True) == 1
@@ -393,16 +393,16 @@
     harness = HubHarness()
     conn, other = harness.open(), harness.open()
     nonces = {c: harness.received[c][0].nonce for c in (conn, other)}
-    shown = proof(KEY, nonces[conn], "operator", "", "ann")
-    for wrong in (shown[:-1] + "x", proof(KEY, nonces[conn], "player", "", "ann"), "", "é"):
+    presented = proof(KEY, nonces[conn], "operator", "", "ann")
+    for wrong in (presented[:-1] + "x", proof(KEY, nonces[conn], "player", "", "ann"), "", "é"):
         bad = harness.open()
         assert error_code(harness.send(bad, type="hello", name="ann", role="operator", proof=wrong)) == "bad_proof"
         assert harness.close_codes[bad] == messages.BAD_HELLO
-    assert error_code(harness.send(other, type="hello", name="ann", role="operator", proof=shown)) == "bad_proof", (
-        "a proof was replayed on another connection"
-    )
+    assert (
+        error_code(harness.send(other, type="hello", name="ann", role="operator", proof=presented)) == "bad_proof"
+    ), "a proof was replayed on another connection"
     assert isinstance(
-        harness.send(conn, type="hello", name="ann", role="operator", proof=shown)[-1], messages.Welcome
+        harness.send(conn, type="hello", name="ann", role="operator", proof=presented)[-1], messages.Welcome
     )
     harness.command(conn, "q", "/status")
     assert harness.other == [chat_hub.Query(conn, "q", "status")]
@@ -418,11 +418,11 @@
 
 
 def test_handshakes_are_paced_and_unused_slots_are_not_kept() -> None:
-    pace = HandshakePacer(100.0, 5.0)
-    waits = [pace.reserve_slot(0.0) for _ in range(105)]
+    pacer = HandshakePacer(100.0, 5.0)
+    waits = [pacer.reserve_slot(0.0) for _ in range(105)]
     assert waits[:5] == pytest.approx([0.0] * 5, abs=1e-9) and waits[-1] == pytest.approx(1.0)
-    assert [pace.reserve_slot(1.0) for _ in range(2)] == pytest.approx([0.01, 0.02])
-    assert [pace.reserve_slot(100.0) for _ in range(6)] == pytest.approx([0, 0, 0, 0, 0, 0.01], abs=1e-9)
+    assert [pacer.reserve_slot(1.0) for _ in range(2)] == pytest.approx([0.01, 0.02])
+    assert [pacer.reserve_slot(100.0) for _ in range(6)] == pytest.approx([0, 0, 0, 0, 0, 0.01], abs=1e-9)
 
 
 # --- tokens and grammar ---
@@ -439,7 +439,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "typed"),
+    ("text", "parsed"),
     [
         ("/lobby", ParsedCommand("lobby", (), ())),
         ("/join cup-7  --car=12 --with \t", ParsedCommand("join", ("cup-7",), (("car", "12"), ("with", "")))),
@@ -448,8 +448,8 @@
         ('/x --note="two words" -1 a=b', ParsedCommand("x", ("-1", "a=b"), (("note", "two words"),))),
     ],
 )
-def test_parsing_of_commands(text: str, typed: ParsedCommand) -> None:
-    assert parse(text) == typed
+def test_parsing_of_commands(text: str, parsed: ParsedCommand) -> None:
+    assert parse(text) == parsed
 
 
 @pytest.mark.parametrize(
@@ -475,11 +475,11 @@
 @given(st.text(max_size=60) | st.text('/ab "\\-= ', max_size=30))
 def test_any_text_parses_or_raises_a_syntax_error(text: str) -> None:
     try:
-        typed = parse(text)
+        parsed = parse(text)
     except CommandSyntaxError:
         return
-    assert text.startswith(f"/{typed.name}")
-    assert len(typed.arguments) + len(typed.options) <= len(text.split()) + text.count('"')
+    assert text.startswith(f"/{parsed.name}")
+    assert len(parsed.arguments) + len(parsed.options) <= len(text.split()) + text.count('"')
 
 
 @given(st.lists(st.text(st.characters(blacklist_categories=("Cc", "Cs")), max_size=12), max_size=5))
@@ -510,7 +510,7 @@
         super().__init__()
         self.harness = HubHarness(session_rate=1e6, session_burst=1e6, max_open=3, max_kept=6)
         self.ran: dict[str, int] = {}
-        self.lossy = False
+        self.lost_records = False
 
     def _count_submissions(self) -> None:
         for submit in self.harness.submitted:
@@ -545,7 +545,9 @@
     @rule(target=sockets, token=tokens, numbers=st.lists(st.integers(0, 9), max_size=4))
     def resume(self, token: str, numbers: list[int]) -> int:
         # after a restart that lost records a client must list all of its open commands
-        conn, received = self.harness.resume(token, *(f"c{n}" for n in (range(10) if self.lossy else numbers)))
+        conn, received = self.harness.resume(
+            token, *(f"c{n}" for n in (range(10) if self.lost_records else numbers))
+        )
         self._count_submissions()
         if error_code(received) in ("stale_token", "bad_token"):
             return self.harness.open_session()
@@ -553,7 +555,7 @@
 
     @rule(lost=st.integers(0, 6))
     def restart(self, lost: int) -> None:
-        self.lossy = self.lossy or lost > 0
+        self.lost_records = self.lost_records or lost > 0
         self.harness.restart(lost)
 
     @rule(kind=st.sampled_from(["served", "refused", "failed"]), data=st.data())
--- a/tests/test_chat_night.py
+++ b/tests/test_chat_night.py
@@ -21,7 +21,7 @@
 from otterquay.lab.simloop import simulate
 from otterquay.policy.agent import Agent
 
-NIGHT = EXAMPLE.parent / "chat-night.hcl"
+SCENARIO = EXAMPLE.parent / "chat-night.hcl"
 SEEDS = range(1, 11)
 
 
@@ -29,7 +29,7 @@
     async def work() -> None:
         slots = asyncio.Semaphore(3)  # a run is several processes; five at once overload the cores
 
-        async def night(seed: int) -> dict[str, Any]:
+        async def run_scenario(seed: int) -> dict[str, Any]:
             async with slots:
                 process = await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -49,12 +49,12 @@
                 out, _ = await process.communicate()
                 return json.loads(out)  # type: ignore[no-any-return]
 
-        for seed, found in zip(SEEDS, await asyncio.gather(*map(night, SEEDS)), strict=True):
-            assert found["violations"] == [], (seed, found["violations"][:5])
-            assert found["commands"] > 50 and found["answers"] + found["not_taken"] == found["commands"]
-            assert found["entry_spent_twice"] == found["answered_twice"] == found["unanswered"] == 0
+        for seed, findings in zip(SEEDS, await asyncio.gather(*map(run_scenario, SEEDS)), strict=True):
+            assert findings["violations"] == [], (seed, findings["violations"][:5])
+            assert findings["commands"] > 50 and findings["answers"] + findings["not_taken"] == findings["commands"]
+            assert findings["entry_spent_twice"] == findings["answered_twice"] == findings["unanswered"] == 0
             assert (
-                found["resumed"] > 5 and found["entry_spends"] > 5
+                findings["resumed"] > 5 and findings["entry_spends"] > 5
             )  # how many depends on the speed of the machine
 
     run(work)
@@ -63,16 +63,16 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_most_commands_of_a_run_are_served(seed: int) -> None:
     """Runs on simulated time, so that the share served does not depend on the load of the machine."""
-    day, service = load_day(NIGHT)
+    day, service = load_day(SCENARIO)
     day = day.model_copy(update={"duration": 5000.0})
     world = ChatWorld(day, service, seed, simulated(service, seed), client_count=200)
     simulate(world.run(), seed)
-    found = judge(world.tape, unsafe_commands(service))
-    assert found["violations"] == [] and found["resumed"] > 50 and found["entry_spends"] > 150
-    assert found["answered_served"] > 0.9 * found["commands"] > 450
+    findings = judge(world.tape, unsafe_commands(service))
+    assert findings["violations"] == [] and findings["resumed"] > 50 and findings["entry_spends"] > 150
+    assert findings["answered_served"] > 0.9 * findings["commands"] > 450
 
 
-class ForgetsIds(chat_hub.Hub):
+class ForgetsCommandIds(chat_hub.Hub):
     """Treats a repeated id as a new command."""
 
     def _command(self, conn_id: int, session: chat_hub.Session, message: messages.Command) -> None:
@@ -80,7 +80,7 @@
         super()._command(conn_id, session, message)
 
 
-class KeepsNoAnswers(chat_hub.Hub):
+class DropsAnswersWhileDetached(chat_hub.Hub):
     """Drops an answer when the session is detached."""
 
     def _finished(self, event: chat_hub.Finished) -> None:
@@ -92,7 +92,7 @@
                 entry.acked = True
 
 
-class SilentOnLoss(chat_hub.Hub):
+class LeavesLostCommandsUnanswered(chat_hub.Hub):
     """Does not answer commands of a lost session."""
 
     def _replace_lost_session(
@@ -101,7 +101,7 @@
         super()._replace_lost_session(conn_id, connection, token, messages.ResumeHello(message.token, []))
 
 
-class RunsAgain(chat_hub.Hub):
+class RunsLostCommandsAgain(chat_hub.Hub):
     """Reports commands of a lost session as never received."""
 
     def _replace_lost_session(
@@ -112,7 +112,7 @@
             self._send(conn_id, messages.Problem("not_here", "", id))
 
 
-class AllAreSafe(Agent):
+class TreatsAllAsSafe(Agent):
     """Treats every class as safe to repeat."""
 
     def __init__(self, settings: it.Settings, seed: int) -> None:
@@ -120,20 +120,20 @@
         super().__init__(replace(settings, classes=classes), seed)
 
 
-GUARDS: dict[str, tuple[Any, Any, str]] = {
-    "whole": (chat_hub.Hub, Agent, ""),
-    "an id is one command": (ForgetsIds, Agent, "spent 2 times"),
-    "answers are kept": (KeepsNoAnswers, Agent, "got no final answer"),
-    "loss is told": (SilentOnLoss, Agent, "got no final answer"),
-    "what was lost never runs again": (RunsAgain, Agent, "spent"),
-    "race-entry is unsafe": (chat_hub.Hub, AllAreSafe, "spent"),
+SAFEGUARDS: dict[str, tuple[Any, Any, str]] = {
+    "none disabled": (chat_hub.Hub, Agent, ""),
+    "an id is one command": (ForgetsCommandIds, Agent, "spent 2 times"),
+    "answers are kept": (DropsAnswersWhileDetached, Agent, "got no final answer"),
+    "lost commands are answered": (LeavesLostCommandsUnanswered, Agent, "got no final answer"),
+    "lost commands never run again": (RunsLostCommandsAgain, Agent, "spent"),
+    "race-entry is unsafe": (chat_hub.Hub, TreatsAllAsSafe, "spent"),
 }
 
 
-LOSSES = ("loss is told", "what was lost never runs again")
+SAFEGUARDS_ON_LOSS = ("lost commands are answered", "lost commands never run again")
 
 
-class Forgetful(SimAgent):
+class SimAgentWithoutStore(SimAgent):
     """An agent that loses its store in a restart."""
 
     async def start(self) -> str:
@@ -142,9 +142,9 @@
 
 
 @pytest.fixture(scope="module")
-def nights() -> dict[str, list[str]]:
+def violations_by_safeguard() -> dict[str, list[str]]:
     """The violations of one run per disabled safeguard, on simulated time."""
-    day, service = load_day(NIGHT)
+    day, service = load_day(SCENARIO)
     slow, kill = (
         FaultPlan.model_validate(plan)
         for plan in (  # so that many commands are open at the kill
@@ -153,23 +153,27 @@
         )
     )
     day = day.model_copy(update={"duration": 2500.0, "fault": [slow, kill], "build": {}})
-    found = {}
-    for name, (hub_class, decider, _) in GUARDS.items():
+    findings = {}
+    for name, (hub_class, decider, _) in SAFEGUARDS.items():
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("otterquay.chat.gateway.chat_hub.Hub", hub_class)
-            hosts = simulated(service, 5, decider=decider, agent=Forgetful if name in LOSSES else SimAgent)
+            hosts = simulated(
+                service, 5, decider=decider, agent=SimAgentWithoutStore if name in SAFEGUARDS_ON_LOSS else SimAgent
+            )
             world = ChatWorld(
                 day, service, 5, hosts, client_count=150, pause_s=0.5, fault_share=0.5, drain_timeout_s=1.0
             )
             simulate(world.run(), 5)
-        found[name] = judge(world.tape, unsafe_commands(service))["violations"]
-    return found
+        findings[name] = judge(world.tape, unsafe_commands(service))["violations"]
+    return findings
 
 
-@pytest.mark.parametrize("name", GUARDS)
-def test_each_check_fails_when_its_safeguard_is_disabled(nights: dict[str, list[str]], name: str) -> None:
-    words = GUARDS[name][2]
-    if not words:
-        assert nights[name] == []
+@pytest.mark.parametrize("name", SAFEGUARDS)
+def test_each_check_fails_when_its_safeguard_is_disabled(
+    violations_by_safeguard: dict[str, list[str]], name: str
+) -> None:
+    expected = SAFEGUARDS[name][2]
+    if not expected:
+        assert violations_by_safeguard[name] == []
     else:
-        assert any(words in text for text in nights[name]), nights[name][:5]
+        assert any(expected in text for text in violations_by_safeguard[name]), violations_by_safeguard[name][:5]
