--- a/benchmarks/chat.py
+++ b/benchmarks/chat.py
@@ -23,7 +23,7 @@
 import click
 from relay import cpu_of, memory_of, quantile, run_open_loop, spawn
 
-from otterquay.chat.gateway import Wire, dial
+from otterquay.chat.gateway import WebSocket, dial
 
 
 class Client:
@@ -31,7 +31,7 @@
 
     def __init__(self, address: str, number: int) -> None:
         self.address, self.number, self.token, self.command_count = address, number, "", 0
-        self.websocket: Wire | None = None
+        self.websocket: WebSocket | None = None
 
     async def _next(self, kind: str) -> dict[str, Any]:
         assert self.websocket
--- /dev/null
+++ b/otterquay/chat/session_store.py
@@ -0,0 +1,67 @@
+"""Persistence of chat sessions over a restart: writes the hub's records to tables of the store and loads them.
+
+Writes are asynchronous, and nothing waits for the disk: a session or command whose record was not yet durable is
+lost in a restart, as all are without a store. To keep a command from running twice, a restored session answers
+`unknown` to a command of before the restart that its records do not answer, and never runs it again.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from otterquay.chat.hub import Persist, StoredEntry, StoredSession, StoredSessions
+from otterquay.logs import Logger
+from otterquay.store import Change, Delete, Put, Store
+
+INCARNATION_TABLE, SESSION_TABLE, ENTRY_TABLE = "chat", "chat.session", "chat.entry"
+
+
+class SessionStore:
+    """The chat tables in the store of one agent."""
+
+    def __init__(self, store: Store, log: Logger) -> None:
+        self._store, self._log = store, log
+
+    def load(self, new_incarnation: int) -> StoredSessions:
+        """Load all records, and the incarnation that their tokens name.
+
+        `new_incarnation` is stored and used where none is stored yet; it is used, too, when loading fails.
+        """
+        try:
+            incarnation = self._store.get(INCARNATION_TABLE, b"life")
+            if incarnation is None:
+                self._store.submit([Put(INCARNATION_TABLE, b"life", new_incarnation.to_bytes(8))])
+                return StoredSessions(new_incarnation, {})
+            sessions: dict[int, tuple[StoredSession, dict[str, StoredEntry]]] = {}
+            for key, value in self._store.scan(SESSION_TABLE):
+                sessions[int.from_bytes(key)] = msgspec.msgpack.decode(value, type=StoredSession), {}
+            for key, value in self._store.scan(ENTRY_TABLE):
+                if found := sessions.get(int.from_bytes(key[:8])):
+                    found[1][key[8:].decode()] = msgspec.msgpack.decode(value, type=StoredEntry)
+            return StoredSessions(int.from_bytes(incarnation), sessions)
+        except Exception as error:  # every session is lost then, as without a store
+            self._log.warning("chat_recall_failed", reason=f"{type(error).__name__}: {error}")
+            return StoredSessions(new_incarnation, {})
+
+    def save(self, action: Persist) -> None:
+        """Write or delete a record."""
+        session_key = action.session.to_bytes(8)
+        changes: list[Change]
+        match action.record:
+            case StoredSession():
+                changes = [Put(SESSION_TABLE, session_key, msgspec.msgpack.encode(action.record))]
+            case StoredEntry():
+                changes = [
+                    Put(ENTRY_TABLE, session_key + action.id.encode(), msgspec.msgpack.encode(action.record))
+                ]
+            case None if action.id:
+                changes = [Delete(ENTRY_TABLE, session_key + action.id.encode())]
+            case None:
+                changes = [
+                    Delete(SESSION_TABLE, session_key),
+                    *(
+                        Delete(ENTRY_TABLE, key)
+                        for key, _ in self._store.scan(ENTRY_TABLE, session_key, (action.session + 1).to_bytes(8))
+                    ),
+                ]
+        self._store.submit(changes)
--- a/otterquay/cli/lab.py
+++ b/otterquay/cli/lab.py
@@ -167,10 +167,10 @@
         hosts = (
             in_process_agents(service) if one_process else process_agents(file.parent / day.service, Path(folder))
         )
-        world = ChatWorld(day, service, seed, hosts, people=people, pause_s=pause, fault_share=faults)
+        world = ChatWorld(day, service, seed, hosts, client_count=people, pause_s=pause, fault_share=faults)
         asyncio.run(world.run())
     findings = judge(world.tape, unsafe_commands(service))
-    waits = sorted(wait * 1e3 for chatter in world.chatters for wait in chatter.waits)
+    waits = sorted(wait * 1e3 for chat_client in world.chat_clients for wait in chat_client.waits)
     if waits:
         findings["wait_ms"] = {
             f"p{q * 100:g}": round(waits[min(len(waits) - 1, int(q * len(waits)))], 1) for q in (0.5, 0.9, 0.99)
--- a/tests/test_chat_gateway.py
+++ b/tests/test_chat_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway on real sockets: WebSocket conformance, hostile bytes, slow readers, resume here and elsewhere."""
+"""Tests of the gateway on real sockets: conformance, hostile input, slow readers, resuming at any agent."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from rig import Rig, answer_at_once, never_answer, run
 
 from otterquay import interface as it
-from otterquay.chat import messages as ms
-from otterquay.chat.gateway import Wire, dial
+from otterquay.chat import messages
+from otterquay.chat.gateway import WebSocket, dial
 from otterquay.chat.tokens import proof
 from otterquay.config import load_service
 from otterquay.lab.ports import claim_ports
@@ -30,7 +30,7 @@
 
 
 class ChatRig(Rig):
-    """A rig whose agent has a gateway."""
+    """A rig whose agent has a chat gateway."""
 
     def __init__(self, servers: int = 2, **chat: Any) -> None:
         assert SERVICE.chat
@@ -56,60 +56,60 @@
     def chat_at(self) -> str:
         return "{}:{}".format(*self.runtime.chat_bound)
 
-    async def enter(self, **hello: Any) -> Talk:
-        """A client with a session."""
-        talk = Talk(await dial(self.chat_at))
-        assert (await talk.next())["type"] == "challenge"
-        talk.send(type="hello", **{"name": "p", "tenant": "first-studio", **hello})
-        talk.welcome = await talk.next()
-        return talk
-
-    async def back(self, talk: Talk, *open: str) -> Talk:
-        """A client that comes back."""
-        again = Talk(await dial(self.chat_at))
+    async def open_session(self, **hello: Any) -> ChatConnection:
+        """Connect a client and start its session."""
+        client = ChatConnection(await dial(self.chat_at))
+        assert (await client.next())["type"] == "challenge"
+        client.send(type="hello", **{"name": "p", "tenant": "first-studio", **hello})
+        client.welcome = await client.next()
+        return client
+
+    async def resume(self, client: ChatConnection, *open: str) -> ChatConnection:
+        """Connect again and resume the session of a client."""
+        again = ChatConnection(await dial(self.chat_at))
         await again.next()
-        again.send(type="resume", token=talk.welcome["token"], open=list(open))
+        again.send(type="resume", token=client.welcome["token"], open=list(open))
         again.welcome = await again.next()
         return again
 
 
-class Talk:
-    """A client's side of one socket."""
+class ChatConnection:
+    """The client side of one socket."""
 
-    def __init__(self, wire: Wire) -> None:
-        self.wire, self.got, self.welcome = wire, list[dict[str, Any]](), dict[str, Any]()
+    def __init__(self, websocket: WebSocket) -> None:
+        self.websocket, self.got, self.welcome = websocket, list[dict[str, Any]](), dict[str, Any]()
 
     def send(self, **message: Any) -> None:
-        self.wire.send(json.dumps(message).encode())
+        self.websocket.send(json.dumps(message).encode())
 
     async def next(self, kind: str = "") -> dict[str, Any]:
-        """The next message, of a kind if one is named."""
+        """The next message, or the next of a kind."""
         async with asyncio.timeout(20):
             while True:
-                self.got += [json.loads(m) for m in self.wire.messages()]
+                self.got += [json.loads(m) for m in self.websocket.messages()]
                 while self.got:
                     message = self.got.pop(0)
                     if not kind or message["type"] == kind:
                         return message
-                if not await self.wire.receive():
-                    raise ConnectionError(f"closed with {self.wire.protocol.close_code}")
-                self.wire.flush()
+                if not await self.websocket.receive():
+                    raise ConnectionError(f"closed with {self.websocket.protocol.close_code}")
+                self.websocket.flush()
 
     async def code(self) -> int | None:
-        """The close code, once closed."""
+        """Read until the connection is closed; returns the close code."""
         try:
             while True:
                 await self.next()
         except ConnectionError:
-            return self.wire.protocol.close_code
+            return self.websocket.protocol.close_code
 
 
-def test_a_typed_command_reaches_a_matchmaker_and_its_answer_the_player() -> None:
+def test_a_command_reaches_a_server_and_its_answer_the_player() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
-            talk = await rig.enter()
-            talk.send(type="command", id="c1", text="/join cup --car=9")
-            found = [await talk.next() for _ in range(3)]
+            client = await rig.open_session()
+            client.send(type="command", id="c1", text="/join cup --car=9")
+            found = [await client.next() for _ in range(3)]
             assert [m["type"] for m in found] == ["accepted", "progress", "answer"]
             assert found[2] == {"type": "answer", "id": "c1", "kind": "served", "text": "right"}
             got = next(r for s in rig.servers for r in s.got)
@@ -120,41 +120,41 @@
     run(work)
 
 
-def test_a_socket_lost_mid_entry_finds_its_answer_and_the_entry_ran_once() -> None:
+def test_a_command_runs_once_and_its_answer_arrives_when_the_socket_is_lost_meanwhile() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             held: list[Any] = []
             for server in rig.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await rig.enter()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await rig.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: held)
-            talk.wire.writer.transport.abort()
-            again = await rig.back(talk, "e1")
+            client.websocket.writer.transport.abort()
+            again = await rig.resume(client, "e1")
             again.send(type="command", id="e1", text="/entry cup")
             assert (await again.next())["type"] == "accepted"
             answer_at_once(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             assert len(held) == 1 and len(rig.seen(it.Request)) == 1
-            assert not rig.seen(it.Abandoned), "a lost socket abandons no command"
+            assert not rig.seen(it.Abandoned), "a lost socket must not abandon a command"
 
     run(work)
 
 
-def test_an_agent_that_was_killed_leaves_unknown_never_harmless() -> None:
+def test_after_an_agent_was_killed_its_open_commands_are_answered_unknown() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             for server in rig.servers:
                 server.behave = never_answer
-            talk = await rig.enter()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await rig.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: any(s.got for s in rig.servers))
             rig.runtime.gateway.abort()  # type: ignore[union-attr]
             rig.runtime.close()
             for server in rig.servers:
                 server.behave = answer_at_once
             await rig.start_agent(rig.list.listener.address, rig.desk.listener.address)
-            again = await rig.back(talk, "e1")
+            again = await rig.resume(client, "e1")
             assert "resumed" not in again.welcome or not again.welcome["resumed"]
             assert (await again.next())["kind"] == "unknown"
             again.send(type="command", id="e1", text="/entry cup")
@@ -175,11 +175,11 @@
             held: list[Any] = []
             for server in home.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await home.enter()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await home.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await home.until(lambda: held)
-            again = await other.back(talk, "e1")  # while the first socket still waits
-            assert again.welcome["resumed"] and await talk.code() == ms.TAKEN_OVER
+            again = await other.resume(client, "e1")  # while the first socket is still open
+            assert again.welcome["resumed"] and await client.code() == messages.TAKEN_OVER
             answer_at_once(*held[0])
             assert (await again.next("answer"))["kind"] == "served"
             again.send(type="command", id="l1", text="/lobby")
@@ -188,33 +188,33 @@
             home.runtime.gateway.abort()  # type: ignore[union-attr]
             assert await again.code() == 1012
             home.runtime.close()
-            last = await other.back(again, "l1")
+            last = await other.resume(again, "l1")
             assert (await last.next())["kind"] == "unknown"
 
     run(work)
 
 
-def test_a_reader_that_stops_is_cut_off_keeps_its_session_and_holds_up_nobody() -> None:
+def test_a_client_that_stops_reading_is_disconnected_and_delays_no_other() -> None:
     async def work() -> None:
         async with ChatRig(max_unsent=20000, session_rate=1e6, session_burst=1e6, max_open=1000) as rig:
-            talk, other = await rig.enter(), await rig.enter(name="q")
-            talk.wire.writer.transport.pause_reading()
-            near = talk.wire.writer.get_extra_info("socket")
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            for wire in rig.runtime.gateway._wires.values():  # type: ignore[union-attr]
-                wire.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+            client, other = await rig.open_session(), await rig.open_session(name="q")
+            client.websocket.writer.transport.pause_reading()
+            client_socket = client.websocket.writer.get_extra_info("socket")
+            client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            for websocket in rig.runtime.gateway._websockets.values():  # type: ignore[union-attr]
+                websocket.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             lost = False
             for i in range(20000):
-                talk.send(type="command", id=f"x{i}", text="/dance " + "x" * 50)
+                client.send(type="command", id=f"x{i}", text="/dance " + "x" * 50)
                 if i % 200 == 0:
                     await asyncio.sleep(0)
-                if len(rig.runtime.gateway._wires) == 1:  # type: ignore[union-attr]
+                if len(rig.runtime.gateway._websockets) == 1:  # type: ignore[union-attr]
                     lost = True
                     break
-            await rig.until(lambda: lost or len(rig.runtime.gateway._wires) == 1)  # type: ignore[union-attr]
+            await rig.until(lambda: lost or len(rig.runtime.gateway._websockets) == 1)  # type: ignore[union-attr]
             other.send(type="command", id="l1", text="/lobby")
             assert (await other.next("answer"))["kind"] == "served"
-            again = await rig.back(talk)
+            again = await rig.resume(client)
             assert again.welcome["resumed"]
 
     run(work)
@@ -223,35 +223,35 @@
 def test_silent_sockets_are_pinged_and_dead_ones_dropped() -> None:
     async def work() -> None:
         async with ChatRig(ping_every=100.0) as rig:
-            live, dead = await rig.enter(), await rig.enter(name="q")
+            live, dead = await rig.open_session(), await rig.open_session(name="q")
             live.send(type="command", id="l1", text="/lobby")
             assert (await live.next("answer"))["kind"] == "served"
-            waiting = asyncio.ensure_future(live.next())  # reads, so that its library answers pings
-            await rig.until(lambda: len(rig.runtime.gateway._wires) == 1)  # type: ignore[union-attr]
+            waiting = asyncio.ensure_future(live.next())  # reading lets the library answer pings
+            await rig.until(lambda: len(rig.runtime.gateway._websockets) == 1)  # type: ignore[union-attr]
             await asyncio.sleep(0.4)
-            assert not waiting.done() and len(rig.runtime.gateway._wires) == 1  # type: ignore[union-attr]
+            assert not waiting.done() and len(rig.runtime.gateway._websockets) == 1  # type: ignore[union-attr]
             waiting.cancel()
-            assert dead.wire
+            assert dead.websocket
 
     run(work)
 
 
-def test_operators_ask_and_follow() -> None:
+def test_operators_query_and_follow() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
-            talk = Talk(await dial(rig.chat_at))
-            nonce = (await talk.next())["nonce"]
-            talk.send(type="hello", name="ann", role="operator", proof=proof(KEY, nonce, "operator", "", "ann"))
-            await talk.next()
-            talk.send(type="command", id="s", text="/status")
-            report = await talk.next()
+            client = ChatConnection(await dial(rig.chat_at))
+            nonce = (await client.next())["nonce"]
+            client.send(type="hello", name="ann", role="operator", proof=proof(KEY, nonce, "operator", "", "ann"))
+            await client.next()
+            client.send(type="command", id="s", text="/status")
+            report = await client.next()
             assert report["id"] == "s" and "build 1: stage 1, released" in report["text"]
-            talk.send(type="command", id="f", text="/follow")
-            assert (await talk.next())["text"] == "following"
+            client.send(type="command", id="f", text="/follow")
+            assert (await client.next())["text"] == "following"
             rig.stage(2, "trial", 0.28)
-            assert "build 2: stage 1, trial, cap 28%" in (await talk.next())["text"]
-            talk.send(type="command", id="v", text="/votes")
-            assert (await talk.next())["id"] == "v"
+            assert "build 2: stage 1, trial, cap 28%" in (await client.next())["text"]
+            client.send(type="command", id="v", text="/votes")
+            assert (await client.next())["id"] == "v"
 
     run(work)
 
@@ -262,22 +262,22 @@
             held: list[Any] = []
             for server in rig.servers:
                 server.behave = lambda peer, request: held.append((peer, request))
-            talk = await rig.enter()
-            talk.send(type="command", id="e1", text="/entry cup")
+            client = await rig.open_session()
+            client.send(type="command", id="e1", text="/entry cup")
             await rig.until(lambda: held)
             stopping = asyncio.ensure_future(rig.runtime.stop())
             await asyncio.sleep(0.02)
             with pytest.raises(OSError):
                 await dial(rig.chat_at)
             answer_at_once(*held[0])
-            assert (await talk.next("answer"))["kind"] == "served"
+            assert (await client.next("answer"))["kind"] == "served"
             await stopping
-            assert await talk.code() == 1012
+            assert await client.code() == 1012
 
     run(work)
 
 
-# --- conformance: cases of RFC 6455 as public test suites name them ---
+# --- conformance: cases of RFC 6455, numbered as in public test suites ---
 def frame(opcode: int, data: bytes, fin: bool = True, rsv: int = 0, masked: bool = True, length: int = -1) -> bytes:
     size = len(data) if length < 0 else length
     head = bytes([fin << 7 | rsv << 4 | opcode])
@@ -314,7 +314,7 @@
         frame(TEXT, HELLO[:5], fin=False) + frame(PING, b"") + frame(CONT, HELLO[5:]),
         WELCOME,
     ),
-    "5.9 continuation of nothing": (frame(CONT, HELLO), 1002),
+    "5.9 continuation without a first fragment": (frame(CONT, HELLO), 1002),
     "5.18 text within a fragmented message": (frame(TEXT, b"{", fin=False) + frame(TEXT, HELLO), 1002),
     "5.x empty fragments": (
         frame(TEXT, b"", fin=False) + frame(CONT, HELLO, fin=False) + frame(CONT, b""),
@@ -339,7 +339,7 @@
 }
 
 
-async def shake(at: str, *extra: str, subprotocol: str | None = ms.SUBPROTOCOL) -> tuple[Any, Any, bytes]:
+async def upgrade(at: str, *extra: str, subprotocol: str | None = messages.SUBPROTOCOL) -> tuple[Any, Any, bytes]:
     reader, writer = await asyncio.open_connection(*at.split(":"))
     lines = [
         "GET / HTTP/1.1",
@@ -379,24 +379,24 @@
         async with ChatRig() as rig:
             found = {}
             for name, (data, _) in CASES.items():
-                reader, writer, head = await shake(rig.chat_at)
+                reader, writer, head = await upgrade(rig.chat_at)
                 assert b" 101 " in head
                 writer.write(data)
                 found[name] = (await outcome(reader))[0]
                 writer.close()
             assert found == {name: expected for name, (_, expected) in CASES.items()}
-            talk = await rig.enter()
-            talk.send(type="command", id="l1", text="/lobby")
-            assert (await talk.next("answer"))["kind"] == "served"
+            client = await rig.open_session()
+            client.send(type="command", id="l1", text="/lobby")
+            assert (await client.next("answer"))["kind"] == "served"
 
     run(work)
 
 
-def test_handshakes_that_are_none() -> None:
+def test_invalid_handshakes_are_refused() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             for subprotocol in (None, "otterquay.chat.v9", "soap"):
-                _, writer, head = await shake(rig.chat_at, subprotocol=subprotocol)
+                _, writer, head = await upgrade(rig.chat_at, subprotocol=subprotocol)
                 assert b" 400 " in head
                 writer.close()
             for data in (
@@ -411,7 +411,7 @@
                     with contextlib.suppress(ConnectionResetError):
                         assert b" 101 " not in await reader.read()
                 writer.close()
-            assert (await rig.enter()).welcome["type"] == WELCOME
+            assert (await rig.open_session()).welcome["type"] == WELCOME
 
     run(work)
 
@@ -421,11 +421,11 @@
     return (packer.compress(data) + packer.flush(zlib.Z_SYNC_FLUSH))[:-4]
 
 
-def test_compressed_messages_and_bombs() -> None:
+def test_compressed_messages_and_decompression_bombs() -> None:
     async def work() -> None:
         async with ChatRig() as rig:
             offer = "sec-websocket-extensions: permessage-deflate; client_max_window_bits"
-            reader, writer, head = await shake(rig.chat_at, offer)
+            reader, writer, head = await upgrade(rig.chat_at, offer)
             assert b"permessage-deflate" in head
             writer.write(frame(TEXT, deflated(HELLO), rsv=4))
             compressed = await reader.read(65536)
@@ -433,13 +433,13 @@
             await rig.until(lambda: rig.runtime.gateway.hub.sessions == 1)  # type: ignore[union-attr]
             bomb = deflated(b"\0" * 50_000_000)
             assert len(bomb) < 60_000
-            reader, writer, _ = await shake(rig.chat_at, offer)
+            reader, writer, _ = await upgrade(rig.chat_at, offer)
             writer.write(frame(TEXT, bomb[:4000], rsv=4, fin=False) + frame(CONT, bomb[4000:]))
             assert (await outcome(reader))[0] == 1009
-            reader, writer, _ = await shake(rig.chat_at, offer)
+            reader, writer, _ = await upgrade(rig.chat_at, offer)
             writer.write(frame(TEXT, b"\xff" * 40, rsv=4))
             assert (await outcome(reader))[0] in (1002, 1007)
-            assert (await rig.enter()).welcome["type"] == WELCOME
+            assert (await rig.open_session()).welcome["type"] == WELCOME
 
     run(work)
 
@@ -458,13 +458,13 @@
     st.randoms(use_true_random=False),
 )
 @settings(max_examples=150, deadline=None)
-def test_any_frames_leave_the_gateway_whole(frames: list[Any], cut: int, rng: random.Random) -> None:
-    """Frames of any kind in any cutting, without sockets: the protocol either goes on or closes, never fails."""
+def test_any_frames_are_handled_without_an_error(frames: list[Any], cut: int, rng: random.Random) -> None:
+    """Frames of any kind, split anywhere, without sockets: the protocol continues or closes, and never raises."""
     from websockets.server import ServerProtocol
 
     from otterquay.chat import gateway as gw
 
-    class Silent:
+    class NullWriter:
         def write(self, data: bytes) -> None: ...
 
         def is_closing(self) -> bool:
@@ -474,17 +474,17 @@
             return False
 
     protocol = ServerProtocol(max_size=4096, state=gw.State.OPEN)
-    wire = Wire(None, Silent(), protocol)  # type: ignore[arg-type]
+    websocket = WebSocket(None, NullWriter(), protocol)  # type: ignore[arg-type]
     data = b"".join(frame(op, body, fin, rsv) for op, body, fin, rsv in frames)
     data = data[:cut] if rng.random() < 0.5 else data
     while data:
         step = rng.randint(1, len(data))
         protocol.receive_data(data[:step])
         data = data[step:]
-        for text in wire.messages():
+        for text in websocket.messages():
             assert len(text) <= 4096
             text.decode()
-        wire.flush()
+        websocket.flush()
 
 
 CORPUS = Path(__file__).parent / "corpus" / "chat"
@@ -492,14 +492,16 @@
 
 @pytest.mark.parametrize("path", sorted(CORPUS.glob("*")), ids=lambda p: p.name)
 def test_the_corpus_of_hostile_messages(path: Path) -> None:
-    from test_chat_hub import Desk, code
+    from test_chat_hub import HubHarness, error_code
 
-    from otterquay.chat import hub as hb
+    from otterquay.chat import hub as chat_hub
 
-    desk = Desk()
-    conn = desk.enter()
-    desk.give(hb.Received(conn, path.read_bytes()))
-    assert code(desk.told[conn]) or isinstance(desk.told[conn][-1], ms.Accepted | ms.Welcome)
+    harness = HubHarness()
+    conn = harness.open_session()
+    harness.handle(chat_hub.Received(conn, path.read_bytes()))
+    assert error_code(harness.received[conn]) or isinstance(
+        harness.received[conn][-1], messages.Accepted | messages.Welcome
+    )
 
 
 def test_the_corpus_is_there() -> None:
