--- a/otterquay/agent/connection_pool.py
+++ b/otterquay/agent/connection_pool.py
@@ -19,8 +19,8 @@
 from otterquay.protocol.http import ProtocolError
 
 READ_SIZE = 65536
-REST_FACTOR = 4  # the rest is this many times the delay at which an unsolicited second answer was seen
-MAX_REST_S = 0.05
+REUSE_IDLE_FACTOR = 4  # times the delay at which an unsolicited second answer was seen
+MAX_REUSE_IDLE_S = 0.05
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
     appliance_protocol: ApplianceProtocol
     log: Logger
     max_connections: int = 0  # 0 for no bound
-    rest_s: float = 0.0  # idle time before reuse, as a surplus answer may not be read yet
+    min_reuse_idle_s: float = 0.0  # idle time before reuse, as a surplus answer may not be read yet
     idle: dict[str, list[Connection]] = field(default_factory=dict)
     open: set[Connection] = field(default_factory=set)
     connecting: set[Call] = field(default_factory=set)
@@ -54,7 +54,7 @@
         loop = asyncio.get_running_loop()
         call = Call(address, tag, build_payload, done, loop.time())
         call.timer = loop.call_at(until, self._overdue, call)
-        idle_before = loop.time() - self.rest_s
+        idle_before = loop.time() - self.min_reuse_idle_s
         for connection in reversed(free := self.idle.get(address, [])):
             if connection.idle_since > idle_before:
                 continue
@@ -209,8 +209,10 @@
                     raise parser.failed or ProtocolError(502, "unsolicited answer")
         except ProtocolError as error:
             idle_s = None if connection.call else asyncio.get_running_loop().time() - connection.idle_since
-            if idle_s and self.rest_s:  # only the rest tells a surplus answer from the answer to the next request
-                self.rest_s = max(self.rest_s, min(REST_FACTOR * idle_s, MAX_REST_S))
+            if idle_s and self.min_reuse_idle_s:  # nothing else tells a surplus answer from the next answer
+                self.min_reuse_idle_s = max(
+                    self.min_reuse_idle_s, min(REUSE_IDLE_FACTOR * idle_s, MAX_REUSE_IDLE_S)
+                )
             self.log.warning(
                 "garbage_from_appliance", address=connection.address, error=error.reason, idle_s=idle_s
             )
--- a/otterquay/agent/front.py
+++ b/otterquay/agent/front.py
@@ -150,26 +150,26 @@
     """The HTTP listener for clients."""
 
     service: Service
-    taker: RequestHandler
+    request_handler: RequestHandler
     log: Logger
     clients: set[Client] = field(default_factory=set)
     stopping: bool = False
     _server: asyncio.Server | None = None
     _sweeper: asyncio.TimerHandle | None = None
-    _beater: asyncio.TimerHandle | None = None
-    _standstill: StallDetector = field(init=False)
-    _reader: RequestValidator = field(init=False)
+    _heartbeat_timer: asyncio.TimerHandle | None = None
+    _stall_detector: StallDetector = field(init=False)
+    _validator: RequestValidator = field(init=False)
 
     def __post_init__(self) -> None:
-        self._reader = RequestValidator.of(self.service)
+        self._validator = RequestValidator.of(self.service)
 
     async def start(self) -> tuple[str, int]:
         """Listen; returns the bound host and port. Raises OSError if the address is not available."""
         host, port = split_address(self.service.agent.listen)
         self._server = await asyncio.start_server(self._serve, host, port, backlog=1024)
         name = self._server.sockets[0].getsockname()
-        self._standstill = StallDetector(asyncio.get_running_loop().time())
-        self._beat()
+        self._stall_detector = StallDetector(asyncio.get_running_loop().time())
+        self._heartbeat()
         self._sweep()
         return str(name[0]), int(name[1])
 
@@ -189,7 +189,7 @@
     def close(self) -> None:
         """Close all open connections."""
         self.drain()
-        for timer in (self._sweeper, self._beater):
+        for timer in (self._sweeper, self._heartbeat_timer):
             if timer:
                 timer.cancel()
         for client in list(self.clients):
@@ -223,7 +223,7 @@
                 client.resuming.cancel()
             if client.number is not None:
                 number, client.number = client.number, None
-                self.taker.abandon(number)
+                self.request_handler.abandon(number)
             writer.close()
 
     async def _read_requests(self, reader: asyncio.StreamReader, client: Client) -> None:
@@ -239,7 +239,7 @@
                 return
             now = client.idle_since = loop.time()
             complete = parser.feed(data)
-            arrived = now - self._standstill.max_wait_s(now)
+            arrived = now - self._stall_detector.max_wait_s(now)
             client.waiting.extend([(http, arrived) for http in complete])
             if not parser.started:
                 client.head_since = None
@@ -260,7 +260,7 @@
             http, arrived = client.waiting.popleft()
             client.keep_alive = http.keep_alive and not self.stopping
             try:
-                client_request = self._reader.read(http)
+                client_request = self._validator.read(http)
             except ProtocolError as error:
                 self.log.info("request_refused", status=error.status, reason=error.reason)
                 client.answer(plain_answer(error.status, error.reason, client.keep_alive))
@@ -268,7 +268,7 @@
             # the time that the request has waited counts against its budget
             if (waited := (asyncio.get_running_loop().time() - arrived) * 1e3) > 1.0:
                 client_request = replace(client_request, budget_ms=max(client_request.budget_ms - waited, 0.0))
-            if self.stopping or not self.taker.take(client_request, client):
+            if self.stopping or not self.request_handler.take(client_request, client):
                 client.answer(refusal_answer("nothing more is taken", client.keep_alive))
 
     async def _resume(self, client: Client) -> None:
@@ -281,10 +281,10 @@
             client.wake.set()
         self.process_waiting(client)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         loop = asyncio.get_running_loop()
-        self._standstill.heartbeat(loop.time())
-        self._beater = loop.call_later(HEARTBEAT_S, self._beat)
+        self._stall_detector.heartbeat(loop.time())
+        self._heartbeat_timer = loop.call_later(HEARTBEAT_S, self._heartbeat)
 
     def _sweep(self) -> None:
         """Close clients that are idle, do not complete a request or do not read; one timer for all clients."""
@@ -303,5 +303,5 @@
                 client.answer(plain_answer(408, "the request did not come in time", False))
             elif now - client.idle_since >= bounds.idle_timeout / 1e3:
                 client.writer.close()
-        least = min(bounds.head_timeout, bounds.idle_timeout, bounds.write_timeout) / 1e3
-        self._sweeper = loop.call_later(max(least / 4, 0.02), self._sweep)
+        shortest_s = min(bounds.head_timeout, bounds.idle_timeout, bounds.write_timeout) / 1e3
+        self._sweeper = loop.call_later(max(shortest_s / 4, 0.02), self._sweep)
--- a/otterquay/node/client.py
+++ b/otterquay/node/client.py
@@ -175,7 +175,7 @@
         try:
             if arguments[0] not in (QUERY, SUBMIT):
                 raise ProtocolError(400, "commands are written in capitals")
-            ask = front.reader.read(arguments)
+            client_request = front.reader.read(arguments)
             if arguments[2] in front.ids:
                 raise ProtocolError(400, "id: a request of this id is open")
         except ProtocolError as error:
@@ -183,11 +183,11 @@
             return self._answer_directly(resp.encode_error(f"ERR {error.reason}"))
         waited = front.stall_detector.max_wait_s(front.now()) * 1e3
         if waited > 1.0:  # deduct the time that the command may have waited unread during an event-loop stall
-            ask = replace(ask, budget_ms=max(ask.budget_ms - waited, 0.0))
+            client_request = replace(client_request, budget_ms=max(client_request.budget_ms - waited, 0.0))
         slot = PendingAnswer(self, arguments[2])
         self.slots.append(slot)
         front.ids.add(slot.id)
-        if not front.taker.take(ask, slot):
+        if not front.request_handler.take(client_request, slot):
             slot.set_answer(b"-BUSY\r\n")
 
     def _answer_directly(self, answer: bytes) -> None:
@@ -264,4 +264,4 @@
     def _abandon(self, slot: PendingAnswer) -> None:
         self.front.ids.discard(slot.id)
         if slot.answer is None and slot.number is not None:
-            self.front.taker.abandon(slot.number)
+            self.front.request_handler.abandon(slot.number)
--- a/otterquay/node/discovery.py
+++ b/otterquay/node/discovery.py
@@ -38,7 +38,7 @@
         log: Logger,
     ) -> None:
         self._address, self._runtime, self._rng, self._wall, self._log = address, runtime, rng, wall, log
-        self.book, self._reader = FleetRegistry(zones), TargetReader(list(kinds))
+        self.registry, self._reader = FleetRegistry(zones), TargetReader(list(kinds))
         self._task: asyncio.Task[None] | None = None
         self._generation, self._received_news = -1, False  # whether this connection brought another generation
         self._list_timeout_s = ANSWER_TIMEOUT_S  # for a whole list
@@ -46,7 +46,7 @@
     @property
     def entries(self) -> Mapping[int, news.Entry]:
         """The listed servers by number."""
-        return self.book.entries
+        return self.registry.entries
 
     def initial_list(self, data: bytes, now_ms: float) -> it.ServerList | None:
         """The event for the list in the configuration, which may be outdated; None if it is malformed."""
@@ -54,8 +54,8 @@
             _, fleet, refused = self._reader.read(data, self._wall() * 1e3)
         except ValueError as error:
             return self._log.warning("known_list_unreadable", reason=str(error))  # type: ignore[no-any-return]
-        event = self.book.apply(it.ListKind.CACHED, fleet, now_ms)
-        self.book.log_refused(refused, self._log)
+        event = self.registry.apply(it.ListKind.CACHED, fleet, now_ms)
+        self.registry.log_refused(refused, self._log)
         return event
 
     def follow(self, on: bool) -> None:
@@ -149,6 +149,6 @@
         self._generation = fleet.version
         if whole or fleet.entries:
             kind = it.ListKind.FULL if whole else it.ListKind.DELTA
-            event = self.book.apply(kind, fleet, asyncio.get_running_loop().time() * 1e3)
-            self._runtime.on_server_list(event, self.book.ended)
-        self.book.log_refused(refused, self._log)
+            event = self.registry.apply(kind, fleet, asyncio.get_running_loop().time() * 1e3)
+            self._runtime.on_server_list(event, self.registry.ended)
+        self.registry.log_refused(refused, self._log)
--- a/otterquay/node/front.py
+++ b/otterquay/node/front.py
@@ -31,7 +31,7 @@
 
     listen: str
     settings: it.Settings
-    taker: RequestHandler
+    request_handler: RequestHandler
     max_clients: int
     shed_above: int  # with more clients, the longest idle one is closed: clients run out of connections first
     log: Logger
--- a/otterquay/node/resp_codec.py
+++ b/otterquay/node/resp_codec.py
@@ -26,9 +26,9 @@
         """Identify an attempt in this process; the tag is not sent to appliances."""
         return b"%d-%d" % (request, attempt)
 
-    def attempt(self, ask: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
+    def attempt(self, client_request: ClientRequest, tag: bytes, address: str, left_ms: float) -> bytes:
         """Encode the client's own command, with `d` set to the time left for this attempt."""
-        arguments: list[bytes] = ask.message
+        arguments: list[bytes] = client_request.message
         left = b"d=%d" % max(1, math.ceil(left_ms))
         options = b",".join([left if item.startswith(b"d=") else item for item in arguments[3].split(b",")])
         return resp.encode_command([*arguments[:3], options, *arguments[4:]])
--- a/tests/crossings/forcing.py
+++ b/tests/crossings/forcing.py
@@ -47,7 +47,7 @@
 
 async def open_idle_connections(rig: Rig) -> int:
     """Open an idle connection to each appliance, reusable at once; returns the number of requests that took."""
-    rig.node.pool.rest_s = 0.0
+    rig.node.pool.min_reuse_idle_s = 0.0
     while not all(one.got for one in rig.appliances):
         assert await rig.exchange(rig.encode_request())
     for writer in rig.writers:
--- a/tests/crossings/test_appliances.py
+++ b/tests/crossings/test_appliances.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from otterquay.agent.connection_pool import MAX_REST_S
+from otterquay.agent.connection_pool import MAX_REUSE_IDLE_S
 from otterquay.agent.outcomes import End
 from otterquay.agent.sockets import has_unread_data
 from tests.crossings.forcing import LOOPS, BlockingAppliance, PoolCalls, run, until, wait_until_arrived
@@ -44,16 +44,16 @@
 def test_the_rest_of_idle_connections_grows_with_how_late_second_answers_come() -> None:
     async def work() -> None:
         calls, plain = PoolCalls(), BlockingAppliance()
-        calls.pool.rest_s = 0.01
+        calls.pool.min_reuse_idle_s = 0.01
         # powers of two, so that adding them to a clock reading and subtracting it again loses nothing to rounding
-        for late_s, rest_s in ((2**-9, 0.01), (2**-8, 2**-6), (3 * 2**-10, 2**-6), (64.0, MAX_REST_S)):
+        for late_s, rest_s in ((2**-9, 0.01), (2**-8, 2**-6), (3 * 2**-10, 2**-6), (64.0, MAX_REUSE_IDLE_S)):
             calls.ends.clear()
             conn = await calls.answered(plain)
             (idle,) = calls.pool.open
             idle.idle_since = asyncio.get_running_loop().time() - late_s
             conn.sendall(served(b"second"))
             await until(lambda idle=idle: idle.closed)  # type: ignore[misc]
-            assert rest_s <= calls.pool.rest_s <= max(2 * rest_s, MAX_REST_S)
+            assert rest_s <= calls.pool.min_reuse_idle_s <= max(2 * rest_s, MAX_REUSE_IDLE_S)
         calls.call(plain.address)
         other = await plain.accept()
         await asyncio.get_running_loop().sock_recv(other, 100)
--- a/tests/crossings/test_drawn.py
+++ b/tests/crossings/test_drawn.py
@@ -65,7 +65,7 @@
         self.late: list[tuple[list[bytes], asyncio.StreamWriter]] = []
         # only the rest tells a surplus answer from the next one: seeds with surplus answers use a long rest
         self.twice = seed % 2
-        rig.node.pool.rest_s = 60.0 * self.twice
+        rig.node.pool.min_reuse_idle_s = 60.0 * self.twice
         for one in rig.appliances:
             self.audit.watch(one, self.behave)
 
