--- a/otterquay/interface.py
+++ b/otterquay/interface.py
@@ -180,7 +180,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Rollout:
-    """How builds are staged, how agents vote on them, and what delays and harm cost."""
+    """How builds are staged, how agents vote on them, and what delays and harm cost.
+
+    At a build on trial an agent may make `free` attempts plus the stage's cap times its requests within
+    `window_ms`, counted by class if `per_class`. During the first `guarded_stages` stages only `SAFE` requests go
+    to such a build. With `one_way`, a key that a build has answered goes to no earlier build. A vote stands for
+    `vote_life_ms`.
+    """
 
     control: Control
     replacement: Replacement
--- a/otterquay/policy/agent.py
+++ b/otterquay/policy/agent.py
@@ -32,7 +32,7 @@
             self.actions.extend([it.Watch(True)] * self.watch_needed)
             self.watch_needed = False
             self._close_bin()
-            # No bins are made up for the time of a stall.
+            # Bins missed during a stall are not made up for.
             self.next_bin_at = max(self.next_bin_at, self.now - BIN_MS / 2) + BIN_MS
             self.actions.append(it.SetTimer(self.next_bin_at - self.now, 0))
 
--- a/otterquay/policy/breaker.py
+++ b/otterquay/policy/breaker.py
@@ -8,7 +8,8 @@
 from otterquay.policy.scoring import tail
 from otterquay.policy.state import BIN_MS, POOL_BINS, SERIES_BINS, Server
 
-# Error share over the usual one at which the breaker may trip: half of the five points that the design prescribes.
+# Error share over the usual one at which the breaker may trip: half of the five
+# percentage points that the design prescribes.
 ERROR_MARGIN = 0.025
 # Error share that is put down to chance.
 CHANCE_ERROR_SHARE = 0.01
@@ -20,19 +21,20 @@
 LEVEL_SIGMAS = 2.3
 # Part of the machines expected to fail at a failing build that must fail for errors to count as widespread.
 MIN_FAILING_SPREAD = 0.6
-# Where machines of the earlier build fail too: failing machines of the trial, and multiple of the usual errors.
+# Where machines of the earlier build fail too, the breaker needs this many failing machines of the trial, and this
+# multiple of the usual errors.
 MIN_FAILING_MACHINES = 3
-# In this order: latencies that a level needs; the log ratio to the earlier build that trips the breaker; the
-# variance of one log latency; the variance of one server's mean log latency.
-MIN_LEVEL_LATENCIES, TRIP_LEVEL_LOG, LATENCY_VARIANCE, SERVER_VARIANCE = (
-    20,
-    math.log(1.8),
-    0.5,
-    0.08,
-)
-# Log ratio to the usual latency from which all servers count as slower, which holds every step; and the number of
-# such bins in a row after which the build goes back.
-SLOWER_LOG, TRIP_SLOWER_BINS = math.log(1.4), 14
+# Latencies that a level needs.
+MIN_LEVEL_LATENCIES = 20
+# Log ratio of the trial's level to the earlier build's above which the breaker trips.
+TRIP_LEVEL_LOG = math.log(1.8)
+# Variance of one log latency, and of one server's mean log latency.
+LATENCY_VARIANCE = 0.5
+SERVER_VARIANCE = 0.08
+# Log ratio to the usual latency above which all servers count as slower; no vote on is cast meanwhile.
+SLOWER_LOG = math.log(1.4)
+# Such bins in a row after which the build goes back.
+TRIP_SLOWER_BINS = 14
 
 
 class Breaker(Evidence):
@@ -54,7 +56,7 @@
         self.errors_widespread = len(trial_servers) == 1 or 2 * sum(known_errors) < total_errors or most_fail
         for name, span in self.pools:
             rows, (*_, level_n, trial_sum, earlier_sum) = self._totals(name, span)
-            # Of many agents that each judge on their own evidence, one errs by chance.
+            # Of many agents that each judge on their own evidence, one would err by chance, so each must be surer.
             judging = (
                 max(self.settings.agents, 1) if name == "own" and self.settings.me not in self.evaluators else 1
             )
@@ -82,7 +84,7 @@
                 ):
                     return f"errors {name} class {cls}: {errors:.0f} of {n:.0f}, usual {usual:.3f}"
             if self.stage_news.phase is it.Phase.TRIAL and trial and earlier and level_n >= MIN_LEVEL_LATENCIES:
-                # Idle earlier servers answer quicker than usual and are no measure.
+                # Idle earlier servers answer quicker than usual and are no measure. A higher level counts twice.
                 trial_level, earlier_level = trial_sum / level_n, 2 * max(earlier_sum / level_n, 0.0)
                 warm = sum(self._age(s) > self.settings.rules.cold_ms + 2 * BIN_MS for s in trial)
                 noise = math.sqrt(2 * LATENCY_VARIANCE / level_n + SERVER_VARIANCE / max(warm, 1))
@@ -115,7 +117,7 @@
             and earlier_sum / earlier_n > SLOWER_LOG
             and not trial_is_better
         )
-        # Once the earlier servers have gone, only their stragglers still end.
+        # Once the earlier servers have gone, only their slowest attempts still end, which are no measure.
         self.slower_bins = self.slower_bins + 1 if is_slower and earlier else 0
         slower_reason = (
             "all slower since it came" if self.stage_news.stage and self.slower_bins >= TRIP_SLOWER_BINS else ""
--- a/otterquay/policy/evidence.py
+++ b/otterquay/policy/evidence.py
@@ -136,6 +136,7 @@
         note = NOTE_HEADER.pack(1, self.stage_news.build, self.class_count) + struct.pack(
             f"<{len(self.unsent_row)}f", *self.unsent_row
         )
+        # A message between agents holds at most 256 bytes.
         if any(any(self.unsent_row[4 * c : 4 * c + 2]) for c in range(self.class_count)) and len(note) <= 256:
             self.actions.extend(it.TellPeers(peer, note) for peer in self.evaluators if peer != self.settings.me)
         self.unsent_row, self.next_note_at = self.empty_row[:], self.now + MAX_NOTE_WAIT_MS
--- a/otterquay/policy/routing.py
+++ b/otterquay/policy/routing.py
@@ -31,7 +31,7 @@
 REQUESTS_PER_KEEPALIVE = 2.0
 # Share of refused connections above which an agent keeps to servers that it has a connection to.
 HIGH_REFUSAL_SHARE = 0.1
-# Time in which a load report loses its weight.
+# Time constant of the exponential decay of a load report's weight.
 LOAD_REPORT_DECAY_MS = 2000.0
 # Servers below this health are avoided.
 MIN_HEALTH = 0.4
@@ -80,9 +80,9 @@
                 pending, server
             )
 
-        # Where the cap forbids every build on trial, their servers are not checked one by one: such refusals cost
-        # more than service. This relies on the cap being the same for all servers of a build. The random draws are
-        # made all the same.
+        # Where the cap forbids every build on trial, their servers are not checked one by one, which would take
+        # longer than serving the request. This relies on the cap being the same for all servers of a build. The
+        # random draws are made all the same, so the choice is the one that the checks would lead to.
         trial_closed = all(self._cap_reached(pending, build) for build in self.trial_builds)
         trial_first = not pending.attempts and self.server_groups[1][1] and self._prefer_trial(pending)
         for near, every in (groups := self.server_groups[::-1] if trial_first else self.server_groups):
--- a/otterquay/policy/rules.py
+++ b/otterquay/policy/rules.py
@@ -12,7 +12,7 @@
 
 # Part of a cold server's budget that is used.
 COLD_BUDGET_PART = 0.85
-# Attempts per overload window that any cold server bears, from all agents together.
+# Attempts per overload window that any cold server can take, from all agents together.
 MIN_COLD_ATTEMPTS_PER_WINDOW = 3.0
 # Keys whose builds are kept.
 KEYS_MOST = 2**18
--- a/otterquay/policy/scoring.py
+++ b/otterquay/policy/scoring.py
@@ -28,7 +28,7 @@
 
 
 def distance(a: Sequence[float], b: Sequence[float]) -> float:
-    """Distance per bin of two scaled series, over the bins that both have."""
+    """Dynamic time warping distance per bin of two series, each scaled, over the bins that both have."""
     depth = min(len(a), len(b))
     first, second = scaled(list(a)[-depth:]), scaled(list(b)[-depth:])
     return dtw(first, second) / depth if any(first) or any(second) else 0.0
@@ -57,6 +57,7 @@
 
 def tail(n: float, x: float, p: float) -> float:
     """Probability of `x` or more errors in `n` trials of error probability `p`, by the Poisson distribution."""
+    # Beyond 700 expected errors exp(-n * p) is close to underflow; 1.0 never trips the breaker.
     if x < 1 or n * p >= 700:
         return 1.0
     term = total = math.exp(-n * p)
--- a/otterquay/policy/state.py
+++ b/otterquay/policy/state.py
@@ -180,8 +180,8 @@
         # All builds on trial that ready servers run.
         self.trial_builds = set[int]()
         self.bin_count, self.ranked_bin, self.bin_scores = 0, -1, deque[float](maxlen=MAX_BIN_SCORES)
-        # All evidence has to meet somewhere: where agents may talk, they send theirs to a few of them, whose
-        # numbers are spread over all agents.
+        # Some agent must see all evidence: where agents may exchange messages, all send theirs to a few of them,
+        # the evaluators, whose numbers are spread evenly over all agents.
         self.evaluators = sorted(
             {i * settings.agents // EVALUATOR_COUNT for i in range(EVALUATOR_COUNT * settings.limits.peers)}
         )
--- a/otterquay/policy/updates.py
+++ b/otterquay/policy/updates.py
@@ -41,8 +41,8 @@
             if news.status is not it.Status.OK:
                 self.last_vote_at = min(self.last_vote_at, self.now - self.rollout.vote_life_ms + BIN_MS)
             return
-        # The agent started during the trial and has no usual latency of the time before; the same holds where a
-        # store has told which builds are settled.
+        # The agent started during the trial and has no usual latency of the time before. It has none either where
+        # its last news was restored from a store, which has an infinite age.
         if (self.stage_news.build == 0 or self.stage_news.age_ms == math.inf) and news.phase is it.Phase.TRIAL:
             self.settle_until = self.now + SETTLE_MS
         old, self.stage_news, self.ranked_bin = self.stage_news, news, -1
--- a/otterquay/policy/votes.py
+++ b/otterquay/policy/votes.py
@@ -83,6 +83,7 @@
         self.last_vote, self.last_vote_at = vote, self.now
         # Only evaluators vote on; a draw over all agents would leave a good build without a vote for long.
         voters = len(self.evaluators) if self.settings.me in self.evaluators else self.settings.agents
+        # On average, all voters together use at most half of the platform's call rate.
         if self.rng.random() * 2000 * voters < self.rollout.calls_per_s * self.rollout.vote_life_ms:
             self.actions.append(it.CastVote(*vote))
             self.actions.append(it.Log(f"build {vote[0]} stage {vote[1]}: vote {verdict.name} on {why}"))
