--- a/otterquay/agent/attempts.py
+++ b/otterquay/agent/attempts.py
@@ -24,9 +24,9 @@
     return int.from_bytes(blake3(key).digest(length=8)) or 1
 
 
-def _is_same_process(entry: news.Entry, now: news.Entry | None) -> bool:
+def _is_same_process(entry: news.Entry, current: news.Entry | None) -> bool:
     """Whether both entries name the same process in the same state."""
-    return now is not None and (now.address, now.incarnation, now.build, now.state) == (
+    return current is not None and (current.address, current.incarnation, current.build, current.state) == (
         entry.address,
         entry.incarnation,
         entry.build,
--- a/otterquay/agent/feeds.py
+++ b/otterquay/agent/feeds.py
@@ -24,7 +24,6 @@
     "withdrawn": it.Phase.WITHDRAWN,
 }
 
-
 MAX_LISTED_SERVERS = 16384  # further servers are refused
 MAX_DEPARTED_SERVERS = 16384  # remembered so that a returning server is recognised
 MAX_REFUSALS_LOGGED = 20  # per update
@@ -147,11 +146,12 @@
                     entry.build,
                 )
             )
-        now = self.entries
+        current = self.entries
         self.ended = [
             old.address
             for server, old in before.items()
-            if server not in now or (now[server].address, now[server].incarnation) != (old.address, old.incarnation)
+            if server not in current
+            or (current[server].address, current[server].incarnation) != (old.address, old.incarnation)
         ]
         return it.ServerList(kind, fleet.version, tuple(updated))
 
--- a/otterquay/agent/state_store.py
+++ b/otterquay/agent/state_store.py
@@ -29,7 +29,7 @@
 from otterquay.protocol import news
 from otterquay.store import Change, Delete, Put, Store
 
-BIN_MS = 250
+BIN_MS = 250  # the attempts of one interval are stored as one count per build and class
 LIST, STAGE, TRIED, ANSWERED, VOTES = "list", "stage", "tried", "answered", "votes"
 _TRIED = struct.Struct(">QIH")  # end of the bin in store time, build, class
 VOTE_RETENTION_S = 7 * 86400.0
--- a/otterquay/node/client.py
+++ b/otterquay/node/client.py
@@ -40,7 +40,7 @@
 
 
 class PendingAnswer:
-    """The place of a command's answer in the order of answers; the `Asker` of its request, if it became one."""
+    """The place of a command's answer in the order of answers; the `Requester` of its request, if it became one."""
 
     __slots__ = ("answer", "client", "id", "number")
 
--- a/otterquay/node/front.py
+++ b/otterquay/node/front.py
@@ -33,7 +33,7 @@
     settings: it.Settings
     request_handler: RequestHandler
     max_clients: int
-    shed_above: int  # with more clients, the longest idle one is closed: clients run out of connections first
+    shed_above: int  # above it the longest idle client is closed: clients run out of connections before the agent
     log: Logger
     clients: set[ClientConnection] = field(default_factory=set)
     ids: set[bytes] = field(default_factory=set)  # ids of open requests
--- a/otterquay/node/json_log.py
+++ b/otterquay/node/json_log.py
@@ -15,9 +15,8 @@
 from otterquay.agent.sockets import is_writable
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-MAX_LINES_PER_S = (
-    100  # below level error, and as many errors; lines over the limit are counted and the count is logged
-)
+# Below level error; as many errors are allowed. Lines over the limit are counted, and their number is logged.
+MAX_LINES_PER_S = 100
 MAX_LINE_BYTES = 4095  # a writable pipe accepts one page; of a longer line only the event is written
 
 
--- a/otterquay/node/platform.py
+++ b/otterquay/node/platform.py
@@ -132,6 +132,7 @@
         except asyncio.LimitOverrunError:
             raise codec.MalformedLine("line exceeds the maximum length") from None
         finally:
+            # a vote that was not sent completely cannot have counted; any other may have
             unsent = writer.transport.get_write_buffer_size() > 0
             self._writer = None
             writer.transport.abort() if unsent else writer.close()
