--- a/otterquay/policy/state.py
+++ b/otterquay/policy/state.py
@@ -20,6 +20,7 @@
 MAX_BIN_SCORES = 12
 # Bins over which the long pools of evidence decay.
 POOL_BINS = 40
+# Pools by source of the evidence (own and peers', or the platform's tallies) and by the bins they decay over.
 POOLS = [(name, span) for name in ("own", "tally") for span in (POOL_BINS, SERIES_BINS)]
 # Trial outcomes of a class below which the class counts as not seen.
 MIN_CLASS_OUTCOMES = 2
