--- a/otterquay/policy/state.py
+++ b/otterquay/policy/state.py
@@ -20,6 +20,7 @@
 MAX_BIN_SCORES = 12
 # Bins over which the long pools of evidence decay.
 POOL_BINS = 40
+# Pools by source of the evidence (own and peers', or the platform's tallies) and by the bins they decay over.
 POOLS = [(name, span) for name in ("own", "tally") for span in (POOL_BINS, SERIES_BINS)]
 # Trial outcomes of a class below which the class counts as not seen.
 MIN_CLASS_OUTCOMES = 2
@@ -180,8 +181,8 @@
         # All builds on trial that ready servers run.
         self.trial_builds = set[int]()
         self.bin_count, self.ranked_bin, self.bin_scores = 0, -1, deque[float](maxlen=MAX_BIN_SCORES)
-        # All evidence has to meet somewhere: where agents may talk, they send theirs to a few of them, whose
-        # numbers are spread over all agents.
+        # Some agent must see all evidence: where agents may exchange messages, all send theirs to a few of them,
+        # the evaluators, whose numbers are spread evenly over all agents.
         self.evaluators = sorted(
             {i * settings.agents // EVALUATOR_COUNT for i in range(EVALUATOR_COUNT * settings.limits.peers)}
         )
