--- a/otterquay/cli/standin.py
+++ b/otterquay/cli/standin.py
@@ -15,7 +15,7 @@
 from otterquay.config import ConfigError
 from otterquay.lab.day import Day, load_day
 from otterquay.lab.world import World
-from otterquay.standins.appliance import Appliance, DedupBook, Flaw, Shape
+from otterquay.standins.appliance import Appliance, DedupTable, Flaw, MachineSpec
 from otterquay.standins.links import Link, LinkState
 from otterquay.standins.tape import Tape
 
@@ -78,7 +78,7 @@
     async def run() -> None:
         fault = None if flaw == "none" else Flaw(flaw, flaw_share, flaw_class, flaw_factor)  # type: ignore[arg-type]
         server = Appliance(
-            1, 1, build, zone, Shape(cores, speed, queue), tape, random.Random(1), DedupBook(5.0), fault
+            1, 1, build, zone, MachineSpec(cores, speed, queue), tape, random.Random(1), DedupTable(5.0), fault
         )
         click.echo(f"listening {await server.start(*split_address(listen))}")
         await asyncio.Event().wait()
--- a/otterquay/lab/cluster/relay.py
+++ b/otterquay/lab/cluster/relay.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Wire:
+class LinkFaults:
     """What is wrong with a direction now. `cuts` counts who holds it cut."""
 
     cuts: int = 0
@@ -29,7 +29,7 @@
     sender: int
     to: int
     target: str
-    wire: Wire
+    wire: LinkFaults
     rng: random.Random
     crossed: Callable[[int, int, bytes], None]
     address: str = ""
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -17,7 +17,7 @@
 from otterquay.lab.cluster.day import ClusterDay, Trouble
 from otterquay.lab.cluster.faults.table import KINDS
 from otterquay.lab.cluster.host import Clustered
-from otterquay.lab.cluster.relay import FrameRelay, Wire
+from otterquay.lab.cluster.relay import FrameRelay, LinkFaults
 from otterquay.lab.cluster.wires import Wires
 from otterquay.lab.day import AgentsPlan, ClassPlan, Day, FleetPlan, TrafficPlan
 from otterquay.lab.fleetsim.judge import Judge
@@ -27,7 +27,7 @@
 from otterquay.standins.links import Link, LinkState
 from otterquay.standins.tape import Stood
 from otterquay.standins.yard import Yard
-from otterquay.standins.yard_book import Effect, YardBook
+from otterquay.standins.yard_ledger import Effect, YardLedger
 
 
 @dataclass(eq=False)  # without slots: its methods call those of the class before it
@@ -39,7 +39,7 @@
     base: Path = field(kw_only=True)
     sites: dict[int, str] = field(default_factory=dict)
     members: list[int] = field(default_factory=list)
-    wires: dict[tuple[int, int], Wire] = field(default_factory=dict)
+    wires: dict[tuple[int, int], LinkFaults] = field(default_factory=dict)
     frames: list[FrameRelay] = field(default_factory=list)
     yards: dict[int, LinkState] = field(default_factory=dict)
     yard_links: list[Link] = field(default_factory=list)
@@ -66,7 +66,7 @@
                     self.members.append(number)
         self.judge = Judge(self.cluster.bound, sites=self.sites)
         self.seen = Wires(self.judge, Duties(sorted(set(self.sites.values())), self.cluster.bound), self._now)
-        book = YardBook(random.Random(self.seed))
+        book = YardLedger(random.Random(self.seed))
         book.watch = self._effect
         self.yard = Yard(book, random.Random(self.seed + 1))
         at_yard = await self.yard.start()
@@ -76,7 +76,7 @@
         for a in self.sites:
             for b in self.sites:
                 if a != b:
-                    wire = self.wires[a, b] = Wire()
+                    wire = self.wires[a, b] = LinkFaults()
                     relay = FrameRelay(a, b, self.numbers[b], wire, rng, self.seen.crossed)
                     self.frames.append(relay)
                     told[a, b] = await relay.start()
@@ -136,7 +136,7 @@
             calm = calm + 0.1 if self._rests() else 0.0
             self.rested = calm >= 2.0
         self.rest_s = self._now() - begun
-        self.judge.end(self.yard.book, self.seen.books)
+        self.judge.check_end(self.yard.book, self.seen.books)
 
     def _rests(self) -> bool:
         books = self.seen.books
--- a/otterquay/lab/fleetsim/draw.py
+++ b/otterquay/lab/fleetsim/draw.py
@@ -114,7 +114,7 @@
                 undo()
 
         self.heals.append(once)
-        self.sim.at(self.sim.now + lasts, once)
+        self.sim.schedule(self.sim.now + lasts, once)
 
     def heal(self) -> None:
         """All at once: links, disks and processes are whole again."""
@@ -219,7 +219,7 @@
             if left:
                 undo = self.sim.links.cut(pairs)
                 self._later(self.rng.uniform(0.5, 6.0), undo)
-                self.sim.at(self.sim.now + self.rng.uniform(1.0, 8.0), lambda: again(left - 1))
+                self.sim.schedule(self.sim.now + self.rng.uniform(1.0, 8.0), lambda: again(left - 1))
 
         again(self.rng.randint(2, 5))
 
@@ -283,13 +283,13 @@
             )
             if one in self.plan.members and away:
                 if not self.healed:
-                    self.sim.at(self.sim.now + 1.0, back)
+                    self.sim.schedule(self.sim.now + 1.0, back)
                 return
             self.sim.kill(one)
             self.sim.hosts[one].disk = copy
             self._down_again(one, 0.1)
 
-        self.sim.at(self.sim.now + 4.0 + lasts, back)
+        self.sim.schedule(self.sim.now + 4.0 + lasts, back)
 
     def _failing_disk(self, lasts: float) -> None:
         one = self.rng.choice(self.agents)
@@ -339,18 +339,18 @@
     def _roll(self, lasts: float) -> None:
         """SIGTERM to one after the other: each hands over, ends, and comes back."""
 
-        def end(number: int) -> None:
+        def terminate(number: int) -> None:
             if self.sim.hosts[number].node is not None and not self.sim.hosts[number].stalled:
-                self.sim.leave(number)
-                self.sim.at(self.sim.now + 1.0, lambda: self._down([number], 1.0))
+                self.sim.terminate(number)
+                self.sim.schedule(self.sim.now + 1.0, lambda: self._down([number], 1.0))
 
         for i, number in enumerate(self.agents):
-            self.sim.at(self.sim.now + 0.7 * i, lambda n=number: None if self.healed else end(n))  # type: ignore[misc]
+            self.sim.schedule(self.sim.now + 0.7 * i, lambda n=number: None if self.healed else terminate(n))  # type: ignore[misc]
 
     def _leader_ends(self, lasts: float) -> None:
         one = self._who(lambda n: n.member and n.member.role.value == "leader")[0]
-        self.sim.leave(one)
-        self.sim.at(self.sim.now + 1.0, lambda: None if self.healed else self._down([one], lasts))
+        self.sim.terminate(one)
+        self.sim.schedule(self.sim.now + 1.0, lambda: None if self.healed else self._down([one], lasts))
 
     def _leaders_slow_disk(self, lasts: float) -> None:
         host = self.sim.hosts[self._who(lambda n: n.member and n.member.role.value == "leader")[0]]
@@ -380,7 +380,7 @@
     day = Day(seed)
     drawn = Drawn(sim, rng)
     for number in drawn.agents:
-        sim.at(rng.random(), lambda n=number: sim.start(n))  # type: ignore[misc]
+        sim.schedule(rng.random(), lambda n=number: sim.start(n))  # type: ignore[misc]
     sim.run(rng.uniform(5.0, 12.0))
     for _ in range(faults or rng.randint(3, 9)):
         name = rng.choice(only)
@@ -393,11 +393,11 @@
     drawn.heal()
     healed = sim.now
     with contextlib.suppress(Endless):
-        day.rested = sim.run(sim.now + QUIET_S, sim.rests)
+        day.rested = sim.run(sim.now + QUIET_S, sim.is_settled)
         day.rest_s = sim.now - healed
         sim.run(sim.now + 3.0)
     if (leader := sim.leader()) is not None:
-        sim.judge.end(sim.yard, leader.duties)
+        sim.judge.check_end(sim.yard, leader.duties)
         day.acts, day.grants = leader.duties.whole.acts, leader.duties.whole.tokens
     day.counts = {**sim.judge.summary(), "stale_reads": sim.judge.counts["stale_reads"]}  # seen from inside alone
     day.notes = sim.judge.notes
--- a/otterquay/lab/fleetsim/judge.py
+++ b/otterquay/lab/fleetsim/judge.py
@@ -15,10 +15,10 @@
 from otterquay.duties.state import Duties
 from otterquay.duties.token import NONE, Token, duty_of
 from otterquay.fleet import words
-from otterquay.lab.fleetsim.reads import Reads
+from otterquay.lab.fleetsim.reads import ReadChecker
 from otterquay.runtimes import rows as rw
 from otterquay.sites import messages as sm
-from otterquay.standins.yard_book import Effect, YardBook
+from otterquay.standins.yard_ledger import Effect, YardLedger
 
 SAFETY = (
     "two_owners",
@@ -57,7 +57,7 @@
     sites: Mapping[int, str] = field(default_factory=dict)
     posts: dict[str, tuple[float, Token]] = field(default_factory=dict)  # when each was last assigned
     tellers: dict[tuple[str, Token], int] = field(default_factory=dict)
-    reads: Reads = field(default_factory=Reads)
+    reads: ReadChecker = field(default_factory=ReadChecker)
     sent: set[tuple[int, int, int]] = field(default_factory=set)
     moves: list[tuple[float, str, int | None]] = field(default_factory=list)  # posts that changed hands
 
@@ -86,7 +86,7 @@
             case sm.Lead():
                 self._lead(at, sender, message)
             case dm.Books():
-                for text in self.reads.answered(at, to, message):
+                for text in self.reads.check_answer(at, to, message):
                     self.fault("stale_reads", text)
             case dm.Rows():
                 self._rows(at, sender, message.rows)
@@ -97,9 +97,9 @@
             if first != agent:
                 self.fault("two_owners", f"{at:.2f}: {report.post} {report.token}: {first}, {agent}")
 
-    def left(self, at: float, agent: int, message: words.Message, awake_since: float) -> None:
+    def message_sent(self, at: float, agent: int, message: words.Message, awake_since: float) -> None:
         """A message leaves a process that has been awake since then: what it tells of its posts, it must hold."""
-        self.reads.left(at, agent, message)
+        self.reads.message_sent(at, agent, message)
         if not isinstance(message, dm.Propose) or not isinstance(message.proposal.command, Looked):
             return
         p = message.proposal
@@ -135,11 +135,11 @@
                     self.fault("two_owners", f"{at:.2f}: token {result.token} to {was} and to {to}, {command.duty}")
             case cm.Order():
                 self.ordered[command.id] = command.duty.partition("/")[2]
-                self.reads.ordered(at, command)
+                self.reads.order_recorded(at, command)
             case cm.Settle():
-                self.reads.settled(at, command)
+                self.reads.order_settled(at, command)
             case cm.Allot():
-                self.reads.allotted(at, command)
+                self.reads.allotment_recorded(at, command)
 
     def _lead(self, at: float, sender: int, lead: sm.Lead) -> None:
         key = (self.sites[sender], lead.token)
@@ -193,7 +193,7 @@
         if first != effect.agent:
             self.fault("two_owners", f"{effect.at:.2f}: {effect.site} {effect.token}: {first}, {effect.agent}")
 
-    def running(self, at: float, yard: YardBook) -> None:
+    def running(self, at: float, yard: YardLedger) -> None:
         """At any moment: servers that run, over all sites."""
         alive = sum(sum(b.alive.values()) for b in yard.sites.values())
         if alive > self.bound:
@@ -239,7 +239,7 @@
             )
 
     # --- the end ---
-    def end(self, yard: YardBook, duties: Duties) -> None:
+    def check_end(self, yard: YardLedger, duties: Duties) -> None:
         """After all links have healed and the work has come to rest."""
         whole = duties.whole
         started: dict[tuple[str, str], int] = {}
--- a/otterquay/lab/fleetsim/reads.py
+++ b/otterquay/lab/fleetsim/reads.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(slots=True)
-class Reads:
+class ReadChecker:
     """Questions by agent and number; times are when things left or arrived."""
 
     asked: dict[tuple[int, int], float] = field(default_factory=dict)
@@ -25,7 +25,7 @@
     closed: dict[str, float] = field(default_factory=dict)  # and first answered
     granted: list[tuple[float, str, int]] = field(default_factory=list)
 
-    def left(self, at: float, agent: int, message: object) -> None:
+    def message_sent(self, at: float, agent: int, message: object) -> None:
         """A message leaves an agent."""
         match message:
             case dm.AskBooks():
@@ -33,20 +33,20 @@
             case dm.Propose() if isinstance(command := message.proposal.command, cm.Settle) and command.final:
                 self.closing.setdefault(command.id, at)
 
-    def ordered(self, at: float, order: cm.Order) -> None:
+    def order_recorded(self, at: float, order: cm.Order) -> None:
         """Its owner was told that an order is written down."""
         self.written.setdefault(order.id, (at, site_of(order.duty) or ""))
 
-    def settled(self, at: float, settle: cm.Settle) -> None:
+    def order_settled(self, at: float, settle: cm.Settle) -> None:
         """Its owner was told that an order is closed."""
         if settle.final:
             self.closed.setdefault(settle.id, at)
 
-    def allotted(self, at: float, allot: cm.Allot) -> None:
+    def allotment_recorded(self, at: float, allot: cm.Allot) -> None:
         """The fleet's owner was told that a site has so much."""
         self.granted.append((at, allot.site, allot.total))
 
-    def answered(self, at: float, agent: int, books: dm.Books) -> list[str]:
+    def check_answer(self, at: float, agent: int, books: dm.Books) -> list[str]:
         """What an answer to this agent cannot be."""
         asked = self.asked.get((agent, books.number))
         if asked is None:
--- a/otterquay/lab/fleetsim/size.py
+++ b/otterquay/lab/fleetsim/size.py
@@ -30,7 +30,7 @@
     sim = Sim(Plan(0, members, sites, 4 * count, 1, wants), seed)
     for number in sim.hosts:
         sim.start(number)
-    if not sim.run(90.0, sim.rests):
+    if not sim.run(90.0, sim.is_settled):
         raise RuntimeError(f"{agents} agents did not come to rest")
     sim.messages.clear()
     begun = sim.now
--- a/otterquay/lab/fleetsim/spread_size.py
+++ b/otterquay/lab/fleetsim/spread_size.py
@@ -47,7 +47,7 @@
         self.rng = random.Random(seed)
         for number in self.sim.hosts:
             self.sim.start(number)
-        if not self.sim.run(120.0, self.sim.rests):
+        if not self.sim.run(120.0, self.sim.is_settled):
             raise RuntimeError(f"{agents} agents did not come to rest")
         self.sim.run(self.sim.now + 2 * OWES_S)
 
@@ -133,7 +133,7 @@
     step = max(len(numbers) // 10, 1)
     for i in range(0, len(numbers), step):
         for number in numbers[i : i + step]:
-            sim.leave(number)
+            sim.terminate(number)
         for phase in ("ends", "starts", ""):
             for _ in range(4 if phase else 12):
                 sim.run(sim.now + STEP_S)
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -15,7 +15,7 @@
 from otterquay.fleet.node import Node
 from otterquay.fleet.plan import Plan
 from otterquay.lab.fleetsim.judge import Judge
-from otterquay.standins.yard_book import YardBook
+from otterquay.standins.yard_ledger import YardLedger
 
 YARD = -1
 EVENTS_MOST = 600_000  # in one run; a day of a dozen agents takes some ten thousand
@@ -84,20 +84,20 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.order = 0
         self.links = Links()
-        self.yard = YardBook(random.Random(seed + 1))
+        self.yard = YardLedger(random.Random(seed + 1))
         self.judge = Judge(plan.bound, sites=plan.sites)
         self.yard.watch = self.judge.effect
         self.hosts = {a: Host(a) for a in plan.sites}
         self.messages: Counter[str] = Counter()
         self.syncs = True  # off: the mutant whose disk says done before it is
-        self.lines: list[tuple[float, int, str, dict[str, object]]] = []
+        self.log_records: list[tuple[float, int, str, dict[str, object]]] = []
         self.yard_loss = self.yard_late = 0.0
         self.newest: dict[int, dict[int, bytes]] = {}
-        self.keep_lines = False
+        self.keep_log_records = False
         self.handled, self.most = 0, EVENTS_MOST
 
     # --- time ---
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def schedule(self, when: float, what: Callable[[], None]) -> None:
         """Do something later."""
         self.order += 1
         heapq.heappush(self.events, (max(when, self.now), self.order, what))
@@ -149,7 +149,7 @@
         host.backlog.clear()
         host.stalled = False
 
-    def leave(self, number: int) -> None:
+    def terminate(self, number: int) -> None:
         """SIGTERM: it hands over what it owns; whoever sent it ends it later."""
         host = self.hosts[number]
         if host.node is not None:
@@ -185,7 +185,7 @@
         node = host.node
         self._step(host, node.tick(self.now))
         wait = min(max(node.due() - self.now, 0.02), 0.2)
-        self.at(self.now + wait, self._guard(host, lambda: self._tick(host, life)))
+        self.schedule(self.now + wait, self._guard(host, lambda: self._tick(host, life)))
 
     # --- steps ---
     def _step(self, host: Host, out: Out) -> None:
@@ -206,13 +206,13 @@
                 return
             if out.writes and self.syncs:
                 host.writing = True
-                self.at(
+                self.schedule(
                     self.now + self.disk_s * (0.5 + self.rng.random()) + host.slow_s,
                     self._guard(host, lambda o=out, m=made: self._written(host, o, m)),  # type: ignore[misc]
                 )
                 return
             if out.writes:  # the mutant: the write waits, and may never come
-                self.at(self.now + 0.5, self._guard(host, lambda o=out: self._store(host, o)))  # type: ignore[misc]
+                self.schedule(self.now + 0.5, self._guard(host, lambda o=out: self._store(host, o)))  # type: ignore[misc]
             host.steps.pop(0)
             self._carry(host, out, made)
 
@@ -234,8 +234,8 @@
         self._next(host)
 
     def _say(self, host: Host, out: Out) -> None:
-        if self.keep_lines:
-            self.lines += [(self.now, host.number, event, fields) for event, fields in out.lines]
+        if self.keep_log_records:
+            self.log_records += [(self.now, host.number, event, fields) for event, fields in out.lines]
 
     def _carry(self, host: Host, out: Out, made: float) -> None:
         """Its messages leave. What it may still do is judged by when the step was made: a disk that keeps it back
@@ -256,15 +256,15 @@
         if to not in self.hosts:
             return
         self.messages[type(message).__name__] += 1
-        self.judge.left(made, sender, message, self.hosts[sender].awake_since)
+        self.judge.message_sent(made, sender, message, self.hosts[sender].awake_since)
         data = words.encode(message)
         pair = (sender, to)
         if sender == to:
-            self.at(self.now, self._arrive(sender, to, data))
+            self.schedule(self.now, self._arrive(sender, to, data))
             return
         for _ in range(2 if self.rng.random() < self.links.repeat else 1):
             if pair not in self.links.cuts and self.rng.random() >= self.links.loss:
-                self.at(self.now + self._delay(pair), self._arrive(sender, to, data))
+                self.schedule(self.now + self._delay(pair), self._arrive(sender, to, data))
 
     def _arrive(self, sender: int, to: int, data: bytes) -> Callable[[], None]:
         host = self.hosts[to]
@@ -299,13 +299,13 @@
             found = self.yard.answer(self.now, host.number, request)
             self.judge.running(self.now, self.yard)
             if back not in self.links.cuts and self.rng.random() >= self.yard_loss:
-                self.at(
+                self.schedule(
                     self.now + self._delay(back) + self.rng.random() * self.yard_late,
                     self._guard(host, lambda: answer(found)),
                 )
 
         for _ in range(2 if self.rng.random() < self.links.repeat else 1):
-            self.at(self.now + self._delay(there) + self.rng.random() * self.yard_late, arrive)
+            self.schedule(self.now + self._delay(there) + self.rng.random() * self.yard_late, arrive)
 
     # --- what the laboratory looks at to know when a day is over ---
     def leader(self) -> Node | None:
@@ -323,7 +323,7 @@
                 return node
         return None
 
-    def rests(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether the group leads, no journal and no order is open, and all sites have what is wanted."""
         leader = self.leader()
         if leader is None or leader.duties.whole.orders:
--- a/otterquay/lab/world.py
+++ b/otterquay/lab/world.py
@@ -11,7 +11,7 @@
 from otterquay.lab.day import Day, FaultPlan
 from otterquay.lab.hosts import Host, Place
 from otterquay.lab.ports import TCP, UDP, Kind, PortClaim, claim_ports
-from otterquay.standins.appliance import Appliance, Flaw, Shape
+from otterquay.standins.appliance import Appliance, Flaw, MachineSpec
 from otterquay.standins.clients import Clients, Habit
 from otterquay.standins.desk import Desk
 from otterquay.standins.fleet import Fleet, Position
@@ -91,7 +91,7 @@
             plan.list_lag / 1e3,
         )
         for i in range(plan.machines):
-            shape = Shape(
+            shape = MachineSpec(
                 plan.cores,
                 rng.uniform(plan.speed_least, plan.speed_most),
                 plan.queue,
@@ -296,7 +296,7 @@
         return self._sever(fault, False, delay_s=fault.factor / 1e3)
 
     async def _zone_loss(self, fault: FaultPlan) -> None:
-        lost = [(p, a) for p in self.fleet.positions if p.zone == fault.zones[0] for a in list(p.held)]
+        lost = [(p, a) for p in self.fleet.positions if p.zone == fault.zones[0] for a in list(p.appliances)]
         for position, appliance in lost:
             self.fleet.end(position, appliance)
         await asyncio.sleep(fault.lasts / 1e3)
@@ -341,13 +341,13 @@
     async def _drain(self, fault: FaultPlan) -> None:
         drained = self._servers(fault)
         for position in self.fleet.positions:
-            for appliance in [a for a in position.held if a in drained]:
+            for appliance in [a for a in position.appliances if a in drained]:
                 self.fleet.drain(position, appliance, self.service.rules.drain_grace / 1e3 + 1.0)
                 await self.fleet.start(position, appliance.build, cold=True)
 
     async def _kill_servers(self, fault: FaultPlan) -> None:
         killed = self._servers(fault)
-        places = [(p, a) for p in self.fleet.positions for a in p.held if a in killed]
+        places = [(p, a) for p in self.fleet.positions for a in p.appliances if a in killed]
         for position, appliance in places:
             self.fleet.end(position, appliance)
         await asyncio.sleep(fault.lasts / 1e3)
@@ -377,7 +377,7 @@
         return self._set(self._servers(fault), twice=True)
 
     def _shared_slow(self, fault: FaultPlan) -> Callable[[], None]:
-        return self._set([self.fleet], drag=fault.factor)
+        return self._set([self.fleet], slowdown=fault.factor)
 
     def _burst(self, fault: FaultPlan) -> Callable[[], None]:
         return self._set([self], burst=fault.factor)
--- a/otterquay/standins/appliance.py
+++ b/otterquay/standins/appliance.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
+class MachineSpec:
     """What a machine can do. `start_capacity` is the part at its start, whole after `cold_s`."""
 
     cores: int = 2
@@ -48,7 +48,7 @@
     fall_s: float = 2.0
 
 
-class DedupBook:
+class DedupTable:
     """Which keyed operations a group of appliances has met, for how long it remembers them."""
 
     def __init__(self, window_s: float) -> None:
@@ -92,13 +92,13 @@
     incarnation: int
     build: int
     zone: str
-    shape: Shape
+    shape: MachineSpec
     tape: Tape
     rng: random.Random
-    book: DedupBook
+    book: DedupTable
     flaw: Flaw | None = None
     cold: bool = False
-    drag: Callable[[], float] = lambda: 1.0  # slowness from outside, such as a shared dependency
+    slowdown: Callable[[], float] = lambda: 1.0  # slowness from outside, such as a shared dependency
     slow: float = 1.0
     fail_share: float = 0.0
     silent: bool = False
@@ -200,7 +200,7 @@
             job = self.waiting.popleft()
             self.running.add(job)
             rate = self.capacity(loop.time()) / self.shape.cores
-            duration = job.work_s / rate * self.slow * self.drag() * self._factor(loop.time())
+            duration = job.work_s / rate * self.slow * self.slowdown() * self._factor(loop.time())
             self._effect(job)
             job.timer = loop.call_later(duration, self._due, job)
 
--- a/otterquay/standins/desk.py
+++ b/otterquay/standins/desk.py
@@ -133,7 +133,7 @@
         order = sorted(range(len(self.fleet.positions)), key=lambda i: (i // len(zones), i % len(zones)))
         for index in order[:wanted]:
             position = self.fleet.positions[index]
-            if any(a.build == build for a in position.held):
+            if any(a.build == build for a in position.appliances):
                 continue
             await asyncio.sleep(self.start_s / max(wanted, 1))
             if (self.standing.build, self.standing.phase) != (build, "trial"):
@@ -143,7 +143,7 @@
         self._later(self._baked(build, stage))
 
     async def _replace(self, position: Position, build: int, keep: bool) -> None:
-        earlier = [a for a in position.held if a.build != build and not a.down]
+        earlier = [a for a in position.appliances if a.build != build and not a.down]
         await self.fleet.start(position, build, cold=True)
         if not keep:
             for appliance in earlier:
@@ -188,15 +188,15 @@
         self._moving = False
         self._move(s.stage, "released")
         for position in self.fleet.positions:
-            for appliance in [a for a in position.held if a.build != s.build and not a.draining]:
+            for appliance in [a for a in position.appliances if a.build != s.build and not a.draining]:
                 self.fleet.drain(position, appliance, self.service.rules.drain_grace / 1e3 + 1.0)
 
     async def _go_back(self) -> None:
         build = self.standing.build
         self._move(self.standing.stage, "going_back")
         for position in self.fleet.positions:
-            bad = [a for a in position.held if a.build == build]
-            if bad and not any(a.build != build and not a.down for a in position.held):
+            bad = [a for a in position.appliances if a.build == build]
+            if bad and not any(a.build != build and not a.down for a in position.appliances):
                 await asyncio.sleep(self.start_s / len(self.fleet.positions))
                 await self.fleet.start(position, self.previous, cold=True)
             for appliance in bad:
--- a/otterquay/standins/fleet.py
+++ b/otterquay/standins/fleet.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from otterquay.protocol import news
-from otterquay.standins.appliance import Appliance, DedupBook, Flaw, Shape
+from otterquay.standins.appliance import Appliance, DedupTable, Flaw, MachineSpec
 from otterquay.standins.http import EventSource
 from otterquay.standins.links import Link, LinkState
 from otterquay.standins.tape import Tape, ToldServer
@@ -24,8 +24,8 @@
     """A place in the fleet: one machine, whose processes come and go."""
 
     zone: str
-    shape: Shape
-    held: list[Appliance] = field(default_factory=list)
+    shape: MachineSpec
+    appliances: list[Appliance] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
@@ -51,9 +51,9 @@
         loop.call_later(self.lag_s + self.extra_lag_s, self._publish, entry, started)
 
     def _publish(self, entry: news.Entry, started: float) -> None:
-        held = self.entries.get(entry.server)
-        if held and held.incarnation > entry.incarnation:
-            return  # the machine has been started anew since
+        known = self.entries.get(entry.server)
+        if known and known.incarnation > entry.incarnation:
+            return  # the machine has been restarted since
         base, self.version = self.version, self.version + 1
         self.started[entry.server] = started
         if entry.state == "gone":
@@ -102,9 +102,9 @@
     flaws: dict[int, Flaw] = field(default_factory=dict)
     links: dict[tuple[str, str], LinkState] = field(default_factory=dict)
     list: FleetList = field(init=False)
-    drag: float = 1.0
-    turns_away: bool = True  # whether a draining appliance refuses what is new
-    _books: dict[str, DedupBook] = field(default_factory=dict)
+    slowdown: float = 1.0
+    refuses_while_draining: bool = True  # whether a draining appliance refuses what is new
+    _books: dict[str, DedupTable] = field(default_factory=dict)
     _relays: dict[tuple[str, str], Link] = field(default_factory=dict)
     _leaving: set[Appliance] = field(default_factory=set)
     _numbers: int = 0
@@ -112,7 +112,7 @@
 
     def __post_init__(self) -> None:
         self.list = FleetList(self.tape, self.zone_of, self.route, self.lag_s)
-        self._books = {zone: DedupBook(self.dedup_s) for zone in self.zones}
+        self._books = {zone: DedupTable(self.dedup_s) for zone in self.zones}
         self.links = {(a, b): LinkState() for a in self.zones for b in self.zones if a != b}
 
     def route(self, near: str, far: str, address: str) -> str:
@@ -145,18 +145,18 @@
                 relay = Link(address, self.links[zone, position.zone])
                 await relay.start()
                 self._relays[zone, address] = relay
-        position.held.append(appliance)
+        position.appliances.append(appliance)
         self._tell(position, appliance, "ready")
         return appliance
 
     def _drag(self) -> float:
         shared = [f for b, f in self.flaws.items() if f.kind == "shared"]
-        running = [a for p in self.positions for a in p.held if not a.down]
+        running = [a for p in self.positions for a in p.appliances if not a.down]
         for flaw in shared:
             bad = sum(len(a.running) for a in running if a.flaw is flaw)
             every = max(sum(len(a.running) for a in running), 1)
-            return self.drag * (1 + (flaw.factor - 1) * bad / every)
-        return self.drag
+            return self.slowdown * (1 + (flaw.factor - 1) * bad / every)
+        return self.slowdown
 
     def _tell(self, position: Position, appliance: Appliance, state: State) -> None:
         entry = news.Entry(
@@ -172,7 +172,7 @@
 
     def drain(self, position: Position, appliance: Appliance, end_after_s: float) -> None:
         """Tell the list that it drains; its process turns away what is new and ends after a while."""
-        appliance.draining = self.turns_away
+        appliance.draining = self.refuses_while_draining
         self._leaving.add(appliance)
         self._tell(position, appliance, "draining")
         loop = asyncio.get_running_loop()
@@ -180,21 +180,21 @@
 
     def end(self, position: Position, appliance: Appliance, graceful: bool = False) -> None:
         """End a process."""
-        if appliance in position.held:
-            position.held.remove(appliance)
+        if appliance in position.appliances:
+            position.appliances.remove(appliance)
             self._leaving.discard(appliance)
             appliance.stop(graceful)
             self._tell(position, appliance, "gone")
 
     def newest(self, position: Position) -> Appliance | None:
         """The process at a position that takes work."""
-        ready = [a for a in position.held if not a.down and not a.draining and a not in self._leaving]
+        ready = [a for a in position.appliances if not a.down and not a.draining and a not in self._leaving]
         return ready[-1] if ready else None
 
     def close(self) -> None:
         """End everything."""
         for position in self.positions:
-            for appliance in position.held:
+            for appliance in position.appliances:
                 appliance.stop()
         for relay in self._relays.values():
             relay.close()
--- a/otterquay/standins/yard.py
+++ b/otterquay/standins/yard.py
@@ -12,7 +12,7 @@
 from otterquay.duties.token import Token
 from otterquay.protocol.http import HttpRequest, write_response
 from otterquay.standins.http import Listener, Peer
-from otterquay.standins.yard_book import YardBook
+from otterquay.standins.yard_ledger import YardLedger
 
 
 def read_request(http: HttpRequest) -> tuple[int, Request] | None:
@@ -41,7 +41,7 @@
 class Yard:
     """`lose` and `late_s` act on answers, `lose_asked` on requests: drawn for each."""
 
-    book: YardBook
+    book: YardLedger
     rng: random.Random
     lose: float = 0.0
     lose_asked: float = 0.0
--- a/otterquay/standins/yard_book.py
+++ b/otterquay/standins/yard_ledger.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class SiteBook:
+class SiteLedger:
     """One site: its newest token, its orders and servers."""
 
     fence: Token = NONE
@@ -43,20 +43,20 @@
 
 
 @dataclass(slots=True)
-class YardBook:
+class YardLedger:
     """All sites. `half`: the share of orders of which only a part is started at a time."""
 
     rng: random.Random
     half: float = 0.0
     fencing: bool = True  # off: the mutant that lets late owners in
     remembers: bool = True  # off: the mutant that does an order again
-    sites: dict[str, SiteBook] = field(default_factory=dict)
+    sites: dict[str, SiteLedger] = field(default_factory=dict)
     tape: list[Effect] = field(default_factory=list)
     watch: Callable[[Effect], None] = lambda effect: None
 
-    def site(self, name: str) -> SiteBook:
+    def site(self, name: str) -> SiteLedger:
         """A site's book."""
-        return self.sites.setdefault(name, SiteBook())
+        return self.sites.setdefault(name, SiteLedger())
 
     def _note(self, at: float, agent: int, site: str, request: Request, what: str, count: int = 0) -> None:
         effect = Effect(at, agent, site, request.token, what, request.key, count)
@@ -95,7 +95,7 @@
             return self._cancel(at, agent, name, book, request, rest[1])
         return Answer(404)
 
-    def _list(self, book: SiteBook) -> Answer:
+    def _list(self, book: SiteLedger) -> Answer:
         listed = Listed(
             [msgspec.structs.replace(o, token=str(book.first[o.id])) for o in book.orders.values()],
             dict(book.alive),
@@ -104,7 +104,7 @@
         )
         return Answer(200, f'"{book.version}"', msgspec.json.encode(listed))
 
-    def _order(self, at: float, agent: int, name: str, book: SiteBook, request: Request) -> Answer:
+    def _order(self, at: float, agent: int, name: str, book: SiteLedger, request: Request) -> Answer:
         try:
             wanted: Wanted = msgspec.json.decode(request.body, type=Wanted)
         except msgspec.MsgspecError:
@@ -136,7 +136,7 @@
         status = 201 if known.started == known.count else 202
         return Answer(status, f'"{known.started}"', msgspec.json.encode(known))
 
-    def _cancel(self, at: float, agent: int, name: str, book: SiteBook, request: Request, order: str) -> Answer:
+    def _cancel(self, at: float, agent: int, name: str, book: SiteLedger, request: Request, order: str) -> Answer:
         known = book.orders.get(order)
         if known is None:
             return Answer(404)
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -16,7 +16,7 @@
 
 from otterquay.addresses import split_address
 from otterquay.fleet.transport import HEAD, NONCE, TAG, Transport, seal
-from otterquay.lab.cluster.relay import FrameRelay, Wire
+from otterquay.lab.cluster.relay import FrameRelay, LinkFaults
 from otterquay.lab.simloop import simulate
 from otterquay.logs import silent
 
@@ -66,7 +66,7 @@
         self.at = await self.one.start()
         to = self.at
         if self.relayed:
-            self.relay = FrameRelay(0, 1, self.at, Wire(), random.Random(2), lambda *_: None)
+            self.relay = FrameRelay(0, 1, self.at, LinkFaults(), random.Random(2), lambda *_: None)
             to = await self.relay.start()
         self.zero = Transport(0, "127.0.0.1:0", {0: "", 1: to}, GROUP, KEY, rng, lambda *_: None, silent())
 
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -14,7 +14,7 @@
 from otterquay.duties.lease import Book, Terms
 from otterquay.duties.state import Duties
 from otterquay.duties.token import CAPACITY, Token, duty_of
-from otterquay.standins.yard_book import YardBook
+from otterquay.standins.yard_ledger import YardLedger
 
 NORTH = duty_of("north")
 
@@ -148,7 +148,7 @@
 
 
 def test_an_order_is_asked_for_again_under_one_id_until_it_is_whole_and_then_cancelled() -> None:
-    yard = YardBook(random.Random(1), half=1.0)
+    yard = YardLedger(random.Random(1), half=1.0)
     errand, now = Errand("north", "1.0-1", "x", 1000, Token(1)), 0.0
     asked = []
     while not errand.final and now < 60:
--- a/tests/fleet/test_handover.py
+++ b/tests/fleet/test_handover.py
@@ -95,7 +95,7 @@
     sim = running(3)
     leader = sim.leader()
     assert leader is not None
-    sim.leave(leader.plan.me)
+    sim.terminate(leader.plan.me)
     assert without_leader(sim, leader.plan.me) < 0.5 and sim.hosts[leader.plan.me].node.left()  # type: ignore[union-attr]
     sim = running(3)
     leader = sim.leader()
@@ -106,18 +106,18 @@
 
 def test_a_slow_disk_at_the_leader_moves_the_leader_and_slow_disks_everywhere_do_not() -> None:
     sim = running(4)
-    sim.keep_lines = True
+    sim.keep_log_records = True
     leader = sim.leader()
     assert leader is not None
     sim.hosts[leader.plan.me].slow_s = 0.5
     sim.run(sim.now + 20.0)
     after = sim.leader()
     assert after is not None and after.plan.me != leader.plan.me
-    assert [e for _, _, e, _ in sim.lines].count("leader_hands_over") == 1, "it does not go to and fro"
+    assert [e for _, _, e, _ in sim.log_records].count("leader_hands_over") == 1, "it does not go to and fro"
     sim = running(4)
-    sim.keep_lines = True
+    sim.keep_log_records = True
     for host in sim.hosts.values():
         host.slow_s = 0.3
     sim.run(sim.now + 20.0)
-    assert "leader_hands_over" not in [e for _, _, e, _ in sim.lines]
+    assert "leader_hands_over" not in [e for _, _, e, _ in sim.log_records]
     assert not any(sim.judge.counts.values()) and len(PLAN.members) == 3
--- a/tests/fleet/test_judge.py
+++ b/tests/fleet/test_judge.py
@@ -16,7 +16,7 @@
 from otterquay.lab.fleetsim.judge import SAFETY, Judge
 from otterquay.runtimes import rows as rw
 from otterquay.sites import messages as sm
-from otterquay.standins.yard_book import YardBook
+from otterquay.standins.yard_ledger import YardLedger
 
 NORTH = duty_of("north")
 LIFE = 1 << lives.BITS
@@ -35,7 +35,7 @@
     one.crossed(1.1, 9, agent, dm.Done(LIFE, token, cm.Result(True, token=Token(token))))
 
 
-def order(yard: YardBook, token: Token, agent: int, key: str, count: int = 1) -> None:
+def order(yard: YardLedger, token: Token, agent: int, key: str, count: int = 1) -> None:
     yard.answer(
         2.0, agent, Request("POST", "/sites/north/orders", token, key, body=msgspec.json.encode(Wanted("x", count)))
     )
@@ -83,7 +83,7 @@
 
 
 def test_late_harm_and_too_many_servers_at_the_yard() -> None:
-    one, yard = judge(), YardBook(random.Random(1), fencing=False)
+    one, yard = judge(), YardLedger(random.Random(1), fencing=False)
     yard.watch = one.effect
     order(yard, Token(2), 0, "a")
     order(yard, Token(3), 1, "b")
@@ -110,10 +110,10 @@
 
 
 def test_orders_and_acts_that_are_lost_repeated_or_taken_twice() -> None:
-    books, yard = Duties(["north", "south"], 9), YardBook(random.Random(1))
+    books, yard = Duties(["north", "south"], 9), YardLedger(random.Random(1))
     one = judge()
     order(yard, Token(1, 1), 0, "act")
-    one.end(yard, books)
+    one.check_end(yard, books)
     assert raised(one) == {"acts_lost", "over_allowance"}, "a site that was handed nothing ordered"
     books.apply(
         1,
@@ -125,22 +125,22 @@
     )
     fine = judge()
     books.whole.sites["north"].granted = 1
-    fine.end(yard, books)
+    fine.check_end(yard, books)
     assert raised(fine) == set()
     order(yard, Token(2), 0, "plain")
     lost = judge()
-    lost.end(yard, books)
+    lost.check_end(yard, books)
     assert raised(lost) == {"orders_lost"}
     twice = judge()
     books.whole.orders.clear()
     books.closed = {"act": None, "plain": None}
     books.whole.running["north"] = {"x": 3}
-    twice.end(yard, books)
+    twice.check_end(yard, books)
     assert raised(twice) == {"acts_twice"}
     again = judge()
     yard.site("north").orders["plain"] = msgspec.structs.replace(yard.site("north").orders["plain"], started=4)
     books.whole.running["north"] = {"x": 5}
-    again.end(yard, books)
+    again.check_end(yard, books)
     assert "orders_repeated" in raised(again)
     assert len(SAFETY) == 12 and words.decode(words.encode(dm.AskTable())) == dm.AskTable()
 
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -23,7 +23,7 @@
     sim = Sim(PLAN, seed)
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     sim.run(sim.now + 3.0)
     return sim
 
@@ -135,7 +135,7 @@
     sim = Sim(replace(PLAN, pace=replace(PLAN.pace, yard=0.4)), 2)
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     sim.yard.end("north", "x", 2)
     begun = sim.now
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("north").alive["x"] == 4)
@@ -155,10 +155,10 @@
 
 def test_an_owner_that_renews_and_brings_nothing_is_relieved_and_no_other() -> None:
     sim = Sim(GRAY, 1)
-    sim.keep_lines = True
+    sim.keep_log_records = True
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     leader = sim.leader()
     assert leader is not None
     gray = leader.duties.whole.duties["capacity/south"].owner
@@ -168,7 +168,7 @@
         sim.yard.end(sim.rng.choice(["north", "south"]), sim.rng.choice("abc"), 1)
         sim.run(sim.now + 1.5)
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("south").alive == {"a": 2, "b": 4, "c": 2})
-    relieved = [fields["agent"] for _, _, event, fields in sim.lines if event == "owner_relieved"]
+    relieved = [fields["agent"] for _, _, event, fields in sim.log_records if event == "owner_relieved"]
     assert relieved == [gray] and not any(sim.judge.counts.values())
     posts = sim.leader().duties.whole.spread.posts.values()  # type: ignore[union-attr]
     assert all(post.owner not in (None, gray) for post in posts), "nor does it hold a post"
--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -9,7 +9,7 @@
 from otterquay.duties.state import OrderState
 from otterquay.duties.token import Token, duty_of
 from otterquay.fleet.sitework import SiteWork
-from otterquay.lab.fleetsim.reads import Reads
+from otterquay.lab.fleetsim.reads import ReadChecker
 
 NORTH, TOKEN = duty_of("north"), Token(3)
 OPEN = OrderState("north", "x", 2, 0, TOKEN, True)
@@ -19,13 +19,13 @@
     return dm.Books("north", orders, {"x": 4}, {"north": granted}, {"north": 0}, 9, number)
 
 
-def told() -> Reads:
+def told() -> ReadChecker:
     """An order written by 1.0, a site handed 5 by 2.0; questions 1 to 3 of agent 7 left at 0.5, 1.5 and 2.5."""
-    reads = Reads()
+    reads = ReadChecker()
     for number, at in ((1, 0.5), (2, 1.5), (3, 2.5)):
-        reads.left(at, 7, dm.AskBooks("north", number))
-    reads.ordered(1.0, cm.Order(NORTH, TOKEN, "o1", "x", 2))
-    reads.allotted(2.0, cm.Allot(TOKEN, "north", 5))
+        reads.message_sent(at, 7, dm.AskBooks("north", number))
+    reads.order_recorded(1.0, cm.Order(NORTH, TOKEN, "o1", "x", 2))
+    reads.allotment_recorded(2.0, cm.Allot(TOKEN, "north", 5))
     return reads
 
 
@@ -41,11 +41,11 @@
 def test_an_order_may_be_gone_once_its_closing_was_asked_for_and_must_be_once_that_was_answered() -> None:
     reads = told()
     closing = cm.Settle(NORTH, TOKEN, "o1", 2, True)
-    reads.left(2.0, 7, dm.Propose(cm.Proposal(7, 1, 1, closing)))
-    assert not reads.answered(3.0, 7, books(2, {})) and not reads.answered(3.0, 7, books(2, {"o1": OPEN}))
-    reads.settled(2.2, closing)
-    assert not reads.answered(3.0, 7, books(2, {"o1": OPEN})), "asked before that"
-    assert "was closed by" in reads.answered(3.0, 7, books(3, {"o1": OPEN}, 5))[0]
+    reads.message_sent(2.0, 7, dm.Propose(cm.Proposal(7, 1, 1, closing)))
+    assert not reads.check_answer(3.0, 7, books(2, {})) and not reads.check_answer(3.0, 7, books(2, {"o1": OPEN}))
+    reads.order_settled(2.2, closing)
+    assert not reads.check_answer(3.0, 7, books(2, {"o1": OPEN})), "asked before that"
+    assert "was closed by" in reads.check_answer(3.0, 7, books(3, {"o1": OPEN}, 5))[0]
 
 
 def test_an_owner_passes_over_books_that_were_asked_for_before_its_last_change() -> None:
--- a/tests/fleet/test_retiring.py
+++ b/tests/fleet/test_retiring.py
@@ -27,7 +27,7 @@
     sim = Sim(plan, 5)
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     for host in sim.hosts.values():
         want(host.node, least)
     return sim
@@ -59,7 +59,7 @@
     leader = sim.leader()
     assert leader is not None
     duties = leader.duties
-    sim.judge.end(sim.yard, duties)
+    sim.judge.check_end(sim.yard, duties)
     assert not any(sim.judge.counts.values()), sim.judge.notes
     assert duties.alive("north", "x") == 2 and not duties.whole.orders
 
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -181,7 +181,7 @@
                 host.node.demand.note("read")
                 host.node.shared.note(sim.now, "read", "b", 3, 1, 200.0, alone=True, late=False)
         if sim.now < 60:
-            sim.at(sim.now + 0.5, asked)
+            sim.schedule(sim.now + 0.5, asked)
 
     asked()
     sim.run(60.0)
--- a/tests/fleet/test_settlement.py
+++ b/tests/fleet/test_settlement.py
@@ -11,7 +11,7 @@
     """A site is cut off, its coordinator orders, and then is gone with its disk; the link heals."""
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     sim.run(sim.now + 5.0)
     inside = sim.plan.agents_of("north")
     heal = sim.links.cut([(a, b) for a in sim.hosts for b in sim.hosts if (a in inside) != (b in inside)])
@@ -24,10 +24,10 @@
     heal()
     sim.run(sim.now + 20.0)
     sim.start(leader)
-    sim.run(sim.now + 60.0, sim.rests)
-    sim.run(sim.now + 30.0, sim.rests)
+    sim.run(sim.now + 60.0, sim.is_settled)
+    sim.run(sim.now + 30.0, sim.is_settled)
     assert sim.leader() is not None
-    sim.judge.end(sim.yard, sim.leader().duties)  # type: ignore[union-attr]
+    sim.judge.check_end(sim.yard, sim.leader().duties)  # type: ignore[union-attr]
 
 
 PLAN = Plan(
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -391,7 +391,7 @@
 
     def patched(self: Fleet) -> None:
         made(self)
-        self.turns_away = False
+        self.refuses_while_draining = False
 
     monkeypatch.setattr(Fleet, "__post_init__", patched)
 
