--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -30,12 +30,12 @@
 
 
 def test_a_read_has_what_was_answered_before_it_was_asked() -> None:
-    assert not told().answered(3.0, 7, books(1, {})), "the order came after the question"
-    assert not told().answered(3.0, 7, books(2, {"o1": OPEN}))
-    assert "not in north's books" in told().answered(3.0, 7, books(2, {}))[0]
-    assert "handed 5" in told().answered(3.0, 7, books(3, {"o1": OPEN}, 4))[0]
-    assert not told().answered(3.0, 7, books(3, {"o1": OPEN}, 5))
-    assert not told().answered(3.0, 8, books(2, {})), "when that agent asked is not known"
+    assert not told().check_answer(3.0, 7, books(1, {})), "the order came after the question"
+    assert not told().check_answer(3.0, 7, books(2, {"o1": OPEN}))
+    assert "not in north's books" in told().check_answer(3.0, 7, books(2, {}))[0]
+    assert "handed 5" in told().check_answer(3.0, 7, books(3, {"o1": OPEN}, 4))[0]
+    assert not told().check_answer(3.0, 7, books(3, {"o1": OPEN}, 5))
+    assert not told().check_answer(3.0, 8, books(2, {})), "when that agent asked is not known"
 
 
 def test_an_order_may_be_gone_once_its_closing_was_asked_for_and_must_be_once_that_was_answered() -> None:
