--- a/otterquay/lab/cluster/faults/links.py
+++ b/otterquay/lab/cluster/faults/links.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from otterquay.lab.cluster.day import Trouble
-from otterquay.lab.fleetsim.world import between
+from otterquay.lab.fleetsim.world import both_directions
 
 if TYPE_CHECKING:
     from otterquay.lab.cluster.world import ClusterWorld
@@ -36,19 +36,19 @@
 
 def cut_site(world: ClusterWorld, one: Trouble, _: int) -> Undo:
     """A site from all others."""
-    return cut(world, between(*inside(world, one.site)))
+    return cut(world, both_directions(*inside(world, one.site)))
 
 
 def split_site(world: ClusterWorld, one: Trouble, _: int) -> Undo:
     """A site in two halves."""
     here, _ignored = inside(world, one.site)
     half = len(here) // 2
-    return cut(world, between(here[:half], here[half:]))
+    return cut(world, both_directions(here[:half], here[half:]))
 
 
 def cut_agent(world: ClusterWorld, _: Trouble, number: int) -> Undo:
     """One agent from all others."""
-    return cut(world, between([number], [a for a in world.sites if a != number]))
+    return cut(world, both_directions([number], [a for a in world.sites if a != number]))
 
 
 def one_way(world: ClusterWorld, one: Trouble, number: int) -> Undo:
@@ -61,7 +61,7 @@
     """A site cut off again and again."""
     rng = random.Random(world.seed + 3)
     for _i in range(one.times):
-        undo = cut(world, between(*inside(world, one.site)))
+        undo = cut(world, both_directions(*inside(world, one.site)))
         try:
             await asyncio.sleep(rng.uniform(0.3, 1.0) * one.lasts / 1e3)
         finally:
--- a/otterquay/lab/cluster/relay.py
+++ b/otterquay/lab/cluster/relay.py
@@ -1,4 +1,4 @@
-"""One direction between two agents: whole frames are passed on, dropped, held, repeated or overtaken."""
+"""A relay for one direction between two agents: forwards, drops, delays, repeats or reorders whole frames."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class LinkFaults:
-    """What is wrong with a direction now. `cuts` counts who holds it cut."""
+    """The faults of one direction now. `cuts` counts the troubles that hold it cut."""
 
     cuts: int = 0
     loss: float = 0.0
@@ -24,14 +24,14 @@
 
 @dataclass(slots=True, eq=False)
 class FrameRelay:
-    """Listens for one sender and carries its frames to one receiver; `crossed` is told each payload passed on."""
+    """Listens for one sender and forwards its frames to one receiver; calls `on_delivered` with each payload."""
 
     sender: int
     to: int
     target: str
-    wire: LinkFaults
+    faults: LinkFaults
     rng: random.Random
-    crossed: Callable[[int, int, bytes], None]
+    on_delivered: Callable[[int, int, bytes], None]
     address: str = ""
     _server: asyncio.Server | None = None
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -39,8 +39,8 @@
     async def start(self) -> str:
         """Listen; returns HOST:PORT."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        name = self._server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        bound = self._server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
     def close(self) -> None:
@@ -54,14 +54,14 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        far: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            far_reader, far = await asyncio.open_connection(*split_address(self.target))
-            writer.write(await far_reader.readexactly(NONCE))
-            ended = asyncio.create_task(far_reader.read(1))
-            frames = asyncio.create_task(self._frames(reader, far))
-            await asyncio.wait([ended, frames], return_when=asyncio.FIRST_COMPLETED)
-            ended.cancel()
+            target_reader, target_writer = await asyncio.open_connection(*split_address(self.target))
+            writer.write(await target_reader.readexactly(NONCE))
+            closed = asyncio.create_task(target_reader.read(1))
+            frames = asyncio.create_task(self._forward_frames(reader, target_writer))
+            await asyncio.wait([closed, frames], return_when=asyncio.FIRST_COMPLETED)
+            closed.cancel()
             frames.cancel()
             with contextlib.suppress(asyncio.CancelledError, OSError, asyncio.IncompleteReadError, FrameRefused):
                 await frames
@@ -69,25 +69,25 @@
             pass
         finally:
             self._tasks.discard(task)
-            for one in (writer, far):
-                if one:
-                    one.transport.abort()
+            for side in (writer, target_writer):
+                if side:
+                    side.transport.abort()
 
-    async def _frames(self, reader: asyncio.StreamReader, far: asyncio.StreamWriter) -> None:
+    async def _forward_frames(self, reader: asyncio.StreamReader, target_writer: asyncio.StreamWriter) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            head = await reader.readexactly(4)
-            frame = head + await reader.readexactly(length_of(head))
-            wire = self.wire
-            if wire.cuts or self.rng.random() < wire.loss:
+            header = await reader.readexactly(4)
+            frame = header + await reader.readexactly(length_of(header))
+            faults = self.faults
+            if faults.cuts or self.rng.random() < faults.loss:
                 continue
-            for _ in range(2 if self.rng.random() < wire.repeat else 1):
-                if wire.late_s:
-                    loop.call_later(self.rng.random() * wire.late_s, self._pass, far, frame)
+            for _ in range(2 if self.rng.random() < faults.repeat else 1):
+                if faults.late_s:
+                    loop.call_later(self.rng.random() * faults.late_s, self._deliver, target_writer, frame)
                 else:
-                    self._pass(far, frame)
+                    self._deliver(target_writer, frame)
 
-    def _pass(self, far: asyncio.StreamWriter, frame: bytes) -> None:
-        if not far.is_closing() and not self.wire.cuts:
-            far.write(frame)
-            self.crossed(self.sender, self.to, frame[HEAD.size : -TAG])
+    def _deliver(self, target_writer: asyncio.StreamWriter, frame: bytes) -> None:
+        if not target_writer.is_closing() and not self.faults.cuts:
+            target_writer.write(frame)
+            self.on_delivered(self.sender, self.to, frame[HEAD.size : -TAG])
--- a/otterquay/lab/cluster/wires.py
+++ b/otterquay/lab/cluster/wires.py
@@ -33,14 +33,14 @@
     unowned: dict[str, list[float]] = field(default_factory=dict)
     free_since: dict[str, float] = field(default_factory=dict)
 
-    def crossed(self, sender: int, to: int, payload: bytes) -> None:
+    def payload_delivered(self, sender: int, to: int, payload: bytes) -> None:
         """A payload reached its receiver's socket."""
         try:
             message = words.decode(payload)
         except ValueError:
             return
         self.counts[type(message).__name__] += 1
-        self.judge.crossed(self.now(), sender, to, message)
+        self.judge.message_delivered(self.now(), sender, to, message)
         if isinstance(message, dm.Relayed):
             message = words.decode(message.body)
         match message:
@@ -86,7 +86,7 @@
 
     def _commit(self, index: int, term: int) -> None:
         if self.terms.setdefault(index, term) != term:
-            self.judge.fault("state_differs", f"entry {index} of terms {self.terms[index]} and {term}")
+            self.judge.add_violation("state_differs", f"entry {index} of terms {self.terms[index]} and {term}")
 
     def _apply(self) -> None:
         # an entry committed under a term settles all before it that were sent in the same log
@@ -103,7 +103,7 @@
                 return
             data = known[term]
             result = self.books.apply(index, data) if data else None
-            self.judge.committed(self.now(), index, data, -1, result)
+            self.judge.entry_applied(self.now(), index, data, -1, result)
             self.done = index
             self.entries.pop(index - 2000, None)
             for duty, state in self.books.whole.duties.items():
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -77,7 +77,7 @@
             for b in self.sites:
                 if a != b:
                     wire = self.wires[a, b] = LinkFaults()
-                    relay = FrameRelay(a, b, self.numbers[b], wire, rng, self.seen.crossed)
+                    relay = FrameRelay(a, b, self.numbers[b], wire, rng, self.seen.payload_delivered)
                     self.frames.append(relay)
                     told[a, b] = await relay.start()
         yards = {}
@@ -106,8 +106,8 @@
         return Clustered(self.folder / f"agent-{place.number}.hcl", place, self.folder / "group.key", self.folder)
 
     def _effect(self, effect: Effect) -> None:
-        self.judge.effect(effect)
-        self.judge.running(effect.at, self.yard.book)
+        self.judge.yard_effect(effect)
+        self.judge.check_running(effect.at, self.yard.book)
         if effect.what == "started":
             asyncio.get_running_loop().call_soon(self.seen.yard, effect.agent)
 
--- a/otterquay/lab/fleetsim/draw.py
+++ b/otterquay/lab/fleetsim/draw.py
@@ -12,7 +12,7 @@
 from blake3 import blake3
 
 from otterquay.fleet.plan import Plan
-from otterquay.lab.fleetsim.world import YARD, Endless, Sim, between
+from otterquay.lab.fleetsim.world import YARD, EventLimitError, Sim, both_directions
 
 FAULTS = (
     "kill",
@@ -181,7 +181,7 @@
 
     def _cut_agent(self, lasts: float) -> None:
         one = self.rng.choice(self.agents)
-        self._cut(between([one], self.agents), lasts)
+        self._cut(both_directions([one], self.agents), lasts)
 
     def _one_way(self, lasts: float) -> None:
         one = self.rng.choice(self.agents)
@@ -196,11 +196,11 @@
 
     def _cut_site(self, lasts: float) -> None:
         inside, outside = self._site()
-        self._cut(between(inside, outside), lasts)
+        self._cut(both_directions(inside, outside), lasts)
 
     def _cut_site_long(self, lasts: float) -> None:
         inside, outside = self._site()
-        self._cut(between(inside, outside), lasts + 20.0)
+        self._cut(both_directions(inside, outside), lasts + 20.0)
         self.sim.yard.end(self.plan.sites[inside[0]], "a", 2)
         self.sim.yard.end(self.plan.sites[inside[0]], "b", 2)
 
@@ -208,12 +208,15 @@
         inside, outside = self._site()
         part = self.rng.sample(inside, len(inside) // 2)
         rest = [a for a in inside if a not in part]
-        self._cut(between(inside, outside) if self.rng.random() < 0.5 else between(rest, outside), lasts + 10.0)
-        self._cut(between(part, rest), lasts + 10.0)
+        self._cut(
+            both_directions(inside, outside) if self.rng.random() < 0.5 else both_directions(rest, outside),
+            lasts + 10.0,
+        )
+        self._cut(both_directions(part, rest), lasts + 10.0)
 
     def _flap_site(self, lasts: float) -> None:
         inside, outside = self._site()
-        pairs = between(inside, outside)
+        pairs = both_directions(inside, outside)
 
         def again(left: int) -> None:
             if left:
@@ -392,7 +395,7 @@
     sim.run(sim.now + rng.uniform(0.0, 6.0))
     drawn.heal()
     healed = sim.now
-    with contextlib.suppress(Endless):
+    with contextlib.suppress(EventLimitError):
         day.rested = sim.run(sim.now + QUIET_S, sim.is_settled)
         day.rest_s = sim.now - healed
         sim.run(sim.now + 3.0)
--- a/otterquay/lab/fleetsim/spread_size.py
+++ b/otterquay/lab/fleetsim/spread_size.py
@@ -43,7 +43,7 @@
         wants = {f"s{i}": {f"k{j}": 1 for j in range(kinds)} for i in range(sites)}
         plan = Plan(0, self.members, self.where, 2 * sites * kinds, 1, wants, pace=Pace(owes=OWES_S))
         self.sim = Sim(plan, seed)
-        self.sim.most = 10**9
+        self.sim.max_events = 10**9
         self.rng = random.Random(seed)
         for number in self.sim.hosts:
             self.sim.start(number)
--- a/tests/contracts/test_transports.py
+++ b/tests/contracts/test_transports.py
@@ -237,7 +237,7 @@
 
 def test_a_relay_drops_repeats_and_delays_as_it_is_told() -> None:
     async def work(net: Any) -> None:
-        wire = net.relay.wire
+        wire = net.relay.faults
         wire.cuts = 1
         net.send(b"lost")
         await asyncio.sleep(0.2)
--- a/tests/fleet/test_judge.py
+++ b/tests/fleet/test_judge.py
@@ -13,7 +13,7 @@
 from otterquay.duties.state import Duties
 from otterquay.duties.token import Token, duty_of
 from otterquay.fleet import words
-from otterquay.lab.fleetsim.judge import SAFETY, Judge
+from otterquay.lab.fleetsim.judge import SAFETY_COUNTS, Judge
 from otterquay.runtimes import rows as rw
 from otterquay.sites import messages as sm
 from otterquay.standins.yard_ledger import YardLedger
@@ -31,8 +31,8 @@
 
 
 def granted(one: Judge, agent: int, token: int) -> None:
-    one.crossed(1.0, agent, 9, dm.Propose(cm.Proposal(agent, LIFE, token, cm.Claim(NORTH))))
-    one.crossed(1.1, 9, agent, dm.Done(LIFE, token, cm.Result(True, token=Token(token))))
+    one.message_delivered(1.0, agent, 9, dm.Propose(cm.Proposal(agent, LIFE, token, cm.Claim(NORTH))))
+    one.message_delivered(1.1, 9, agent, dm.Done(LIFE, token, cm.Result(True, token=Token(token))))
 
 
 def order(yard: YardLedger, token: Token, agent: int, key: str, count: int = 1) -> None:
@@ -45,10 +45,10 @@
     one = judge()
     granted(one, 0, 5)
     granted(one, 0, 6)
-    one.crossed(2.0, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
-    one.crossed(2.0, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
+    one.message_delivered(2.0, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
+    one.message_delivered(2.0, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
     assert raised(one) == set()
-    one.crossed(2.0, 1, 0, sm.Lead(Token(5, 1), 1, 0, {}))
+    one.message_delivered(2.0, 1, 0, sm.Lead(Token(5, 1), 1, 0, {}))
     assert raised(one) == {"two_coordinators"}
     granted(one, 1, 5)
     assert raised(one) == {"two_coordinators", "two_owners"}
@@ -56,11 +56,11 @@
 
 def test_loosened_by_a_later_beat_and_not_by_a_late_one() -> None:
     one = judge()
-    one.crossed(1.0, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
-    one.crossed(1.0, 0, 1, sm.Lead(Token(5, 1), 2, 0, {7: 0.2}))
-    one.crossed(1.1, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
+    one.message_delivered(1.0, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
+    one.message_delivered(1.0, 0, 1, sm.Lead(Token(5, 1), 2, 0, {7: 0.2}))
+    one.message_delivered(1.1, 0, 1, sm.Lead(Token(5, 1), 1, 0, {}))
     assert raised(one) == set()
-    one.crossed(1.2, 0, 1, sm.Lead(Token(5, 1), 3, 0, {7: 0.3}))
+    one.message_delivered(1.2, 0, 1, sm.Lead(Token(5, 1), 3, 0, {7: 0.3}))
     assert raised(one) == {"loosened"}
 
 
@@ -68,7 +68,7 @@
     key = rw.Key(0, LIFE, 0, "read", "a", 1, 1)
 
     def told(one: Judge, version: int, count: int) -> None:
-        one.crossed(1.0, 0, 1, dm.Rows(rw.encode([(key, rw.Row(version, {3: count}))])))
+        one.message_delivered(1.0, 0, 1, dm.Rows(rw.encode([(key, rw.Row(version, {3: count}))])))
 
     one = judge()
     for version, count in ((1, 1), (3, 3), (2, 2), (3, 3)):
@@ -84,28 +84,30 @@
 
 def test_late_harm_and_too_many_servers_at_the_yard() -> None:
     one, yard = judge(), YardLedger(random.Random(1), fencing=False)
-    yard.watch = one.effect
+    yard.watch = one.yard_effect
     order(yard, Token(2), 0, "a")
     order(yard, Token(3), 1, "b")
     assert raised(one) == set()
     order(yard, Token(2), 0, "c")
     assert raised(one) == {"late_harm"}
     order(yard, Token(3), 1, "d", 5)
-    one.running(2.0, yard)
+    one.check_running(2.0, yard)
     assert raised(one) == {"late_harm", "over_allowance"}
 
 
 def test_the_log_that_differs_tokens_that_fall_and_commands_under_old_ones() -> None:
     one = judge()
     claim = cm.encode(cm.Proposal(0, LIFE, 1, cm.Claim(NORTH)))
-    one.committed(1.0, 1, claim, 0, cm.Result(True, token=Token(4)))
-    one.committed(1.0, 1, claim, 1, cm.Result(True, token=Token(4)))
+    one.entry_applied(1.0, 1, claim, 0, cm.Result(True, token=Token(4)))
+    one.entry_applied(1.0, 1, claim, 1, cm.Result(True, token=Token(4)))
     assert raised(one) == set()
-    one.committed(1.0, 2, cm.encode(cm.Proposal(0, LIFE, 2, cm.Claim(NORTH))), 0, cm.Result(True, token=Token(3)))
+    one.entry_applied(
+        1.0, 2, cm.encode(cm.Proposal(0, LIFE, 2, cm.Claim(NORTH))), 0, cm.Result(True, token=Token(3))
+    )
     assert raised(one) == {"tokens_back"}
-    one.committed(1.0, 3, cm.encode(cm.Proposal(0, LIFE, 3, cm.Renew(NORTH, Token(2)))), 0, cm.Result(True))
+    one.entry_applied(1.0, 3, cm.encode(cm.Proposal(0, LIFE, 3, cm.Renew(NORTH, Token(2)))), 0, cm.Result(True))
     assert raised(one) == {"tokens_back", "late_harm"}
-    one.committed(1.0, 1, b"other", 2, None)
+    one.entry_applied(1.0, 1, b"other", 2, None)
     assert raised(one) == {"tokens_back", "late_harm", "state_differs"}
 
 
@@ -142,15 +144,17 @@
     books.whole.running["north"] = {"x": 5}
     again.check_end(yard, books)
     assert "orders_repeated" in raised(again)
-    assert len(SAFETY) == 12 and words.decode(words.encode(dm.AskTable())) == dm.AskTable()
+    assert len(SAFETY_COUNTS) == 12 and words.decode(words.encode(dm.AskTable())) == dm.AskTable()
 
 
 def test_a_request_that_leaves_under_an_old_token_from_one_that_was_awake() -> None:
     one = judge()
-    one.committed(10.0, 1, cm.encode(cm.Proposal(0, LIFE, 1, cm.Claim(NORTH))), 0, cm.Result(True, token=Token(4)))
-    one.called(10.04, 1, "north", Token(3), 0.0)
-    one.called(12.0, 1, "north", Token(3), 9.5)
-    one.called(12.0, 0, "north", Token(4), 0.0)
+    one.entry_applied(
+        10.0, 1, cm.encode(cm.Proposal(0, LIFE, 1, cm.Claim(NORTH))), 0, cm.Result(True, token=Token(4))
+    )
+    one.yard_request_sent(10.04, 1, "north", Token(3), 0.0)
+    one.yard_request_sent(12.0, 1, "north", Token(3), 9.5)
+    one.yard_request_sent(12.0, 0, "north", Token(4), 0.0)
     assert raised(one) == set(), "just then, one that has slept, the owner itself"
-    one.called(12.0, 1, "north", Token(3), 0.0)
+    one.yard_request_sent(12.0, 1, "north", Token(3), 0.0)
     assert raised(one) == {"two_owners"}
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -89,7 +89,7 @@
     assert owner is not None
     host = sim.hosts[owner]
     assert host.node is not None
-    sim._step(host, host.node.leave(sim.now))
+    sim._add_step(host, host.node.leave(sim.now))
     assert sim.run(sim.now + 10.0, lambda: leader.duties.whole.duties["capacity/north"].token > token)
     assert sim.now - at < PLAN.terms.owner / 2, "long before its lease would have run out"
     assert host.node.left() and not host.node.held and leader.duties.whole.duties["capacity/north"].owner != owner
