--- a/otterquay/lab/fleetsim/reads.py
+++ b/otterquay/lab/fleetsim/reads.py
@@ -1,9 +1,13 @@
-"""Reads of the group's books, judged against what was answered before they were asked.
+"""Checks reads of the group's records for linearizability, from the messages on the wire.
 
-A read is linearizable where it takes effect at one moment between its question and its answer. What can be seen of
-that from the wires: an order whose writing was answered before the question left is in the books unless somebody
-had asked to close it before the answer came; one whose closing was answered before is not; and what a site was
-handed is there. Each is exact: none of it can fail in a linearizable history.
+A linearizable read takes effect at one moment between its request and its answer. Three conditions follow:
+
+- An order whose recording was confirmed before the request was sent is in the answer, unless somebody asked to
+  close it before the answer arrived.
+- An order whose closing was confirmed before the request was sent is not in the answer.
+- The answer shows at least the allowance whose grant to a site was confirmed before the request was sent.
+
+No linearizable history violates any of them.
 """
 
 from __future__ import annotations
@@ -17,16 +21,16 @@
 
 @dataclass(slots=True)
 class ReadChecker:
-    """Questions by agent and number; times are when things left or arrived."""
+    """State for the checks: read requests by agent and number. Times are those of sending or arrival."""
 
     asked: dict[tuple[int, int], float] = field(default_factory=dict)
-    written: dict[str, tuple[float, str]] = field(default_factory=dict)  # by order: when answered, and its site
-    closing: dict[str, float] = field(default_factory=dict)  # by order: when its closing was first asked for
-    closed: dict[str, float] = field(default_factory=dict)  # and first answered
+    recorded: dict[str, tuple[float, str]] = field(default_factory=dict)  # by order: when confirmed, and its site
+    closing: dict[str, float] = field(default_factory=dict)  # by order: when its closing was first requested
+    closed: dict[str, float] = field(default_factory=dict)  # by order: when its closing was first confirmed
     granted: list[tuple[float, str, int]] = field(default_factory=list)
 
     def message_sent(self, at: float, agent: int, message: object) -> None:
-        """A message leaves an agent."""
+        """Note a read request or a request to close an order, as an agent sends it."""
         match message:
             case dm.AskBooks():
                 self.asked.setdefault((agent, message.number), at)
@@ -34,36 +38,36 @@
                 self.closing.setdefault(command.id, at)
 
     def order_recorded(self, at: float, order: cm.Order) -> None:
-        """Its owner was told that an order is written down."""
-        self.written.setdefault(order.id, (at, site_of(order.duty) or ""))
+        """Note that an order's owner received the confirmation that the order is recorded."""
+        self.recorded.setdefault(order.id, (at, site_of(order.duty) or ""))
 
     def order_settled(self, at: float, settle: cm.Settle) -> None:
-        """Its owner was told that an order is closed."""
+        """Note that an order's owner received the confirmation of a settlement."""
         if settle.final:
             self.closed.setdefault(settle.id, at)
 
     def allotment_recorded(self, at: float, allot: cm.Allot) -> None:
-        """The fleet's owner was told that a site has so much."""
+        """Note that the fleet's owner received the confirmation of a site's allowance."""
         self.granted.append((at, allot.site, allot.total))
 
     def check_answer(self, at: float, agent: int, books: dm.Books) -> list[str]:
-        """What an answer to this agent cannot be."""
+        """The violations shown by an answer to this agent."""
         asked = self.asked.get((agent, books.number))
         if asked is None:
-            return []  # relayed, or of an earlier life: when it was asked is not known
-        found = [
-            f"{at:.2f}: {name} was written by {when:.2f}, not in {books.site}'s books of {asked:.2f}"
-            for name, (when, site) in self.written.items()
+            return []  # relayed, or requested by an earlier incarnation: the time of the request is unknown
+        violations = [
+            f"{at:.2f}: {name} was recorded by {when:.2f}, not in {books.site}'s books of {asked:.2f}"
+            for name, (when, site) in self.recorded.items()
             if site == books.site and when < asked and name not in books.orders and self.closing.get(name, at) >= at
         ]
-        found += [
+        violations += [
             f"{at:.2f}: {name} was closed by {when:.2f}, open in {books.site}'s books of {asked:.2f}"
             for name, when in self.closed.items()
             if when < asked and name in books.orders
         ]
-        found += [
+        violations += [
             f"{at:.2f}: {site} was handed {total} by {when:.2f}, {books.granted.get(site)} in books"
             for when, site, total in self.granted
             if when < asked and books.granted.get(site, 0) < total
         ]
-        return found
+        return violations
--- a/otterquay/lab/fleetsim/size.py
+++ b/otterquay/lab/fleetsim/size.py
@@ -1,4 +1,4 @@
-"""What the fleet's work costs by size, on simulated time: messages at rest, time without an owner after a kill."""
+"""Measures coordination cost by fleet size in simulation: message rates at rest, and time without an owner."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """Messages an agent a second at rest, of all and of the site's words; seconds without owner after kills."""
+    """The cost of one fleet size.
+
+    `messages` (all) and `words` (those of class Word) are per agent and second at rest; `unowned` lists the seconds
+    that a duty had no owner after a kill.
+    """
 
     agents: int
     sites: int
@@ -20,40 +24,38 @@
 
 
 def measure(agents: int, site_size: int, kills: int, seed: int = 1, rest_s: float = 20.0) -> Cost:
-    """A fleet of sites of that size and five members (three under five agents), at rest and then with owners
-    killed.
-    """
-    count = max(agents // site_size, 1)
-    sites = {n: f"s{n % count}" for n in range(agents)}
+    """Measure a fleet at rest, then kill owners. It has five members, or three if it has under five agents."""
+    site_count = max(agents // site_size, 1)
+    sites = {n: f"s{n % site_count}" for n in range(agents)}
     members = tuple(range(5 if agents >= 5 else 3))
     wants = {name: {"x": 1} for name in set(sites.values())}
-    sim = Sim(Plan(0, members, sites, 4 * count, 1, wants), seed)
+    sim = Sim(Plan(0, members, sites, 4 * site_count, 1, wants), seed)
     for number in sim.hosts:
         sim.start(number)
     if not sim.run(90.0, sim.is_settled):
-        raise RuntimeError(f"{agents} agents did not come to rest")
+        raise RuntimeError(f"{agents} agents did not settle")
     sim.messages.clear()
-    begun = sim.now
+    started_at = sim.now
     sim.run(sim.now + rest_s)
-    span = (sim.now - begun) * agents
-    messages, words = sum(sim.messages.values()) / span, sim.messages["Word"] / span
+    agent_seconds = (sim.now - started_at) * agents
+    messages, words = sum(sim.messages.values()) / agent_seconds, sim.messages["Word"] / agent_seconds
     unowned = []
-    for turn in range(kills):
+    for i in range(kills):
         leader = sim.leader()
         assert leader is not None
-        duty = f"capacity/s{turn % count}"
+        duty = f"capacity/s{i % site_count}"
         state = leader.duties.whole.duties[duty]
         if state.owner is None or state.owner in members:
             continue
-        killed, token, at = state.owner, state.token, sim.now
+        killed, token, killed_at = state.owner, state.token, sim.now
         sim.kill(killed)
 
-        def again(duty: str = duty, token: object = token) -> bool:
-            now = sim.leader()
-            return now is not None and now.duties.whole.duties[duty].token != token
+        def granted_anew(duty: str = duty, token: object = token) -> bool:
+            current = sim.leader()
+            return current is not None and current.duties.whole.duties[duty].token != token
 
-        if sim.run(sim.now + 60.0, again):
-            unowned.append(sim.now - at)
+        if sim.run(sim.now + 60.0, granted_anew):
+            unowned.append(sim.now - killed_at)
         sim.start(killed)
         sim.run(sim.now + 3.0)
-    return Cost(agents, count, messages, words, sorted(unowned))
+    return Cost(agents, site_count, messages, words, sorted(unowned))
--- a/tests/fleet/test_drawn_days.py
+++ b/tests/fleet/test_drawn_days.py
@@ -1,4 +1,7 @@
-"""The fleet's work on simulated time: drawn days give zeros, one digest a seed; a guard out is caught."""
+"""Drawn days of the simulated fleet: no violations, one digest per seed, and a removed guard is detected.
+
+A day whose counts are all zero proves little by itself; the mutant tests show that the days can detect a fault.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 import pytest
 
 from otterquay.lab.fleetsim import spread_mutants
-from otterquay.lab.fleetsim.draw import FAULTS, GIVEN, OWES_S, SPREAD, play
+from otterquay.lab.fleetsim.draw import FAULTS, HANDOVER_FAULTS, OWES_S, POST_FAULTS, play
 from otterquay.lab.fleetsim.mutants import MUTANTS
 
 ROOT = Path(__file__).parents[2]
@@ -18,18 +21,18 @@
 
 @pytest.mark.parametrize("first", range(0, 80, 20))
 def test_drawn_days_break_nothing_and_come_to_rest(first: int) -> None:
-    seen: set[str] = set()
+    injected: set[str] = set()
     for seed in range(first, first + 20):
         day = play(seed)
         assert not day.bad, (seed, day.faults, day.notes[:3])
         assert day.rested, (seed, day.faults)
-        seen.update(day.faults)
-    assert len(seen) > len(FAULTS) / 2
+        injected.update(day.faults)
+    assert len(injected) > len(FAULTS) / 2
 
 
 def test_one_seed_is_one_run_under_any_hash_seed() -> None:
     code = "from otterquay.lab.fleetsim.draw import play\nprint([play(s).digest for s in (3, 7, 62)])"
-    told = {
+    digests = {
         subprocess.run(
             [sys.executable, "-c", code],
             cwd=ROOT,
@@ -39,11 +42,11 @@
         ).stdout
         for seed in ("1", "2")
     }
-    assert len(told) == 1
+    assert len(digests) == 1
 
 
-# guards whose loss drawn days find within this many seeds; the others have tests of their own (docs/duties.md)
-WITHIN = {
+# Seeds within which drawn days detect a guard's removal; other guards have tests of their own (docs/duties.md).
+MAX_SEEDS = {
     "no token at the group": 40,
     "votes and entries not synced": 30,
     "order sent before it is written": 10,
@@ -54,8 +57,8 @@
 }
 
 
-# and one that is found late: its seed alone
-SEEDS = {**{name: range(most) for name, most in WITHIN.items()}, "allowance not held apart": (133,)}
+# One removal is detected only at a high seed, so that seed alone is played.
+SEEDS = {**{name: range(seeds) for name, seeds in MAX_SEEDS.items()}, "allowance not held apart": (133,)}
 
 
 @pytest.mark.parametrize("name", SEEDS)
@@ -65,8 +68,8 @@
         assert any(any(play(seed, alter).counts[what] for what in shows) for seed in SEEDS[name])
 
 
-# guards of the posts, within this many days with posts; a fresh leader's wait has a test by hand (test_posts.py)
-POSTS_WITHIN = {
+# The same for guards of posts, on days with posts; the wait of a new leader is tested in test_posts.py.
+POSTS_MAX_SEEDS = {
     "a post given away at once": 1,
     "any status frees a post": 1,
     "reports under any token": 8,
@@ -75,18 +78,18 @@
 }
 
 
-@pytest.mark.parametrize("name", POSTS_WITHIN)
+@pytest.mark.parametrize("name", POSTS_MAX_SEEDS)
 def test_a_guard_of_the_posts_taken_out_is_found(name: str) -> None:
     patch, shows = spread_mutants.MUTANTS[name]
     with patch():
-        days = (play(seed, only=SPREAD, owes=OWES_S) for seed in range(POSTS_WITHIN[name]))
+        days = (play(seed, only=POST_FAULTS, owes=OWES_S) for seed in range(POSTS_MAX_SEEDS[name]))
         assert any(any(day.counts[what] for what in shows) for day in days)
 
 
-# the last four had two holders of one post (docs/incidents/2026-12-02-told-between-proposal-and-log.md)
+# The last four seeds gave one post to two holders (docs/incidents/2026-12-02-told-between-proposal-and-log.md).
 @pytest.mark.parametrize("seeds", [range(0, 12), range(12, 24), (1198, 1203, 1645, 2062)])
 def test_drawn_days_with_posts_break_nothing_and_come_to_rest(seeds: Iterable[int]) -> None:
     for seed in seeds:
-        day = play(seed, only=GIVEN if seed < 1000 else SPREAD, owes=OWES_S)
+        day = play(seed, only=HANDOVER_FAULTS if seed < 1000 else POST_FAULTS, owes=OWES_S)
         assert not day.bad, (seed, day.faults, day.notes[:3])
         assert day.rested, (seed, day.faults)
