--- a/otterquay/lab/fleetsim/explore.py
+++ b/otterquay/lab/fleetsim/explore.py
@@ -1,9 +1,9 @@
-"""Small worlds explored fully: every order of a few timers, messages and restarts of three agents that elect.
+"""A small model checker: explores all orders of a few timeouts, messages and restarts in elections of three agents.
 
-A world is explored breadth first with every state met once. What is asked of each: one leader a term, one
-coordinator a token. Time stands where every timer may run out and nobody is held back by having heard a
-leader: clocks decide nothing here, as none of the promises may rest on them. A message that is never
-delivered is a lost one; those that are no part of an election are left out, but who leads is noted for good.
+States are explored breadth first, each once. The invariants are one leader per term and one coordinator per token.
+Time is fixed at a value at which every timer may expire and no agent defers to a leader that it heard recently, as
+the invariants must not depend on clocks. A message that is never delivered stands for a lost one. Messages that are
+not part of an election are left out, and whoever has led stays recorded.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 Disk = dict[tuple[str, bytes], bytes]
 
 
-class Chance(random.Random):
-    """No chance at all, and one for all worlds."""
+class FixedRandom(random.Random):
+    """A constant source of randomness, shared by all states."""
 
     def random(self) -> float:
-        """Always the same."""
+        """Return a constant."""
         return 0.5
 
-    def __deepcopy__(self, memo: Any) -> Chance:
+    def __deepcopy__(self, memo: Any) -> FixedRandom:
         return self
 
 
-CHANCE = Chance()
+FIXED_RANDOM = FixedRandom()
 
 
-class Nothing:
-    """A machine with no state."""
+class EmptyStateMachine:
+    """A replicated state machine without state."""
 
     def apply(self, index: int, data: bytes) -> object:
         return None
@@ -61,32 +61,32 @@
 
 
 @dataclass(slots=True)
-class World:
-    """Three agents, what is on the way between them, and how many more timers and restarts there may be."""
+class WorldState:
+    """A state: three agents, messages in flight, and the timeouts and restarts that may still happen."""
 
     agents: list[Any]
     disks: list[Disk]
-    wires: list[tuple[int, int, Any]] = field(default_factory=list)
+    in_flight: list[tuple[int, int, Any]] = field(default_factory=list)
     timers: int = 0
     restarts: int = 0
     led: frozenset[tuple[Any, int]] = frozenset()
 
-    def key(self, of: Callable[[Any], Any]) -> str:
-        """The same for worlds that go on alike."""
-        wires = sorted(repr(w) for w in self.wires)
+    def key(self, describe: Callable[[Any], Any]) -> str:
+        """A key that is equal for states with the same future."""
+        in_flight = sorted(repr(w) for w in self.in_flight)
         return repr(
             (
                 self.timers,
                 self.restarts,
                 sorted(self.led),
-                [of(a) for a in self.agents],
+                [describe(a) for a in self.agents],
                 [sorted(d.items()) for d in self.disks],
-                wires,
+                in_flight,
             )
         )
 
-    def carry(self, agent: int, out: Out, synced: bool) -> None:
-        """A step's writes last before its messages leave; not where a guard is out."""
+    def perform(self, agent: int, out: Out, synced: bool) -> None:
+        """Store a step's writes, then send its messages. Without `synced` (a mutant) the writes are lost."""
         for write in out.writes if synced else ():
             if write.value is None:
                 self.disks[agent].pop((write.table, write.key), None)
@@ -94,14 +94,14 @@
                 self.disks[agent][write.table, write.key] = write.value
         for send in out.sends:
             if isinstance(send.message, gm.Vote | gm.Voted | sm.Ask | sm.Answer):
-                self.wires.append((agent, send.to, send.message))
+                self.in_flight.append((agent, send.to, send.message))
 
-    def copy(self) -> World:
-        """Another one that shares nothing that changes."""
-        return World(
+    def copy(self) -> WorldState:
+        """A copy that shares no mutable state."""
+        return WorldState(
             [deepcopy(a) for a in self.agents],
             [dict(d) for d in self.disks],
-            list(self.wires),
+            list(self.in_flight),
             self.timers,
             self.restarts,
             self.led,
@@ -109,62 +109,62 @@
 
 
 @dataclass(slots=True)
-class Found:
-    """States met, and what was wrong in the first that was."""
+class Exploration:
+    """The number of states, and the violation in the first wrong state, if any."""
 
     states: int
     wrong: str = ""
 
 
 def explore(
-    first: World,
-    of: Callable[[Any], Any],
-    moves: Callable[[World], list[World]],
-    wrong: Callable[[World], str],
-    most: int,
-) -> Found:
-    """All states that can be reached, or the first that is wrong; AssertionError over `most` of them."""
-    seen, waiting = {first.key(of)}, deque([first])
-    while waiting:
-        world = waiting.popleft()
+    first: WorldState,
+    describe: Callable[[Any], Any],
+    moves: Callable[[WorldState], list[WorldState]],
+    wrong: Callable[[WorldState], str],
+    max_states: int,
+) -> Exploration:
+    """Explore all reachable states up to the first wrong one; raises AssertionError beyond `max_states`."""
+    seen, queue = {first.key(describe)}, deque([first])
+    while queue:
+        world = queue.popleft()
         if text := wrong(world):
-            return Found(len(seen), text)
-        for following in moves(world):
-            key = following.key(of)
+            return Exploration(len(seen), text)
+        for successor in moves(world):
+            key = successor.key(describe)
             if key not in seen:
                 seen.add(key)
-                waiting.append(following)
-                if len(seen) > most:
-                    raise AssertionError(f"over {most} states")
-    return Found(len(seen))
-
-
-def _next(
-    world: World,
-    act: Callable[[World, int, Callable[[Any, Out], None]], World],
-    begin: Callable[[int, Disk], Any],
-    may_stand: Callable[[Any], bool],
-    stand: Callable[[Any, Out], None],
-) -> list[World]:
-    """Worlds one move on: a message arrives, a timer runs out, an agent begins again with its disk."""
-    found = []
-    for i, (sender, to, message) in enumerate(world.wires):
-        if world.wires.index((sender, to, message)) != i:
+                queue.append(successor)
+                if len(seen) > max_states:
+                    raise AssertionError(f"more than {max_states} states")
+    return Exploration(len(seen))
+
+
+def _successors(
+    world: WorldState,
+    act: Callable[[WorldState, int, Callable[[Any, Out], None]], WorldState],
+    restart: Callable[[int, Disk], Any],
+    may_run: Callable[[Any], bool],
+    run_for_election: Callable[[Any, Out], None],
+) -> list[WorldState]:
+    """The successor states: a message arrives, a timer expires, or an agent restarts from its disk."""
+    successors = []
+    for i, (sender, to, message) in enumerate(world.in_flight):
+        if world.in_flight.index((sender, to, message)) != i:
             continue
         one = world.copy()
-        del one.wires[i]
-        found.append(act(one, to, lambda m, o, s=sender, w=message: m.receive(NOW, s, w, o)))  # type: ignore[misc]
+        del one.in_flight[i]
+        successors.append(act(one, to, lambda m, o, s=sender, w=message: m.receive(NOW, s, w, o)))  # type: ignore[misc]
     for agent in AGENTS:
-        if world.timers and may_stand(world.agents[agent]):
+        if world.timers and may_run(world.agents[agent]):
             one = world.copy()
             one.timers -= 1
-            found.append(act(one, agent, stand))
+            successors.append(act(one, agent, run_for_election))
         if world.restarts:
             one = world.copy()
             one.restarts -= 1
-            one.agents[agent] = begin(agent, one.disks[agent])
-            found.append(one)
-    return found
+            one.agents[agent] = restart(agent, one.disks[agent])
+            successors.append(one)
+    return successors
 
 
 # --- the group ---
@@ -172,7 +172,7 @@
     log = Log()
     log.load(None, sorted((k, v) for (t, k), v in disk.items() if t == LOG))
     joining = Joining(me, AGENTS, Identity(1, 1, True), 1, {}, welcomed=set(AGENTS) - {me})
-    member = Member(me, AGENTS, Nothing(), log, joining, CHANCE)
+    member = Member(me, AGENTS, EmptyStateMachine(), log, joining, FIXED_RANDOM)
     member.start(NOW, disk.get((META, TERM)))
     return member
 
@@ -190,45 +190,49 @@
     )
 
 
-def group_moves(synced: bool) -> Callable[[World], list[World]]:
-    """A timer runs out, a message arrives or is lost, a member begins again with its disk."""
+def group_moves(synced: bool) -> Callable[[WorldState], list[WorldState]]:
+    """The successor function for the group: timeouts, messages and restarts of members."""
 
-    def act(world: World, agent: int, do: Callable[[Member, Out], None]) -> World:
+    def act(world: WorldState, agent: int, do: Callable[[Member, Out], None]) -> WorldState:
         out = Out()
         member = world.agents[agent]
         member.heard_at = -1e9
         do(member, out)
-        for told in out.lasting:
-            told(NOW)
+        for callback in out.lasting:
+            callback(NOW)
         after = Out()
         member.settle(NOW, after)
-        world.carry(agent, out, synced)
-        world.carry(agent, after, synced)
+        world.perform(agent, out, synced)
+        world.perform(agent, after, synced)
         if member.role is Role.LEADER:
             world.led |= {(member.term, agent)}
         return world
 
-    return lambda world: _next(
+    return lambda world: _successors(
         world, act, _member, lambda m: m.role is Role.FOLLOWER, lambda m, o: m._stand(NOW, o)
     )
 
 
-def one_each(world: World) -> str:
-    """Two that led under one term or token."""
-    under = [term for term, _ in world.led]
-    return f"two lead under one: {sorted(world.led)}" if len(under) != len(set(under)) else ""
+def duplicate_leaders(world: WorldState) -> str:
+    """Describe two agents that led under one term or token; empty if there are none."""
+    terms = [term for term, _ in world.led]
+    return f"two lead under one: {sorted(world.led)}" if len(terms) != len(set(terms)) else ""
 
 
-def explore_group(timers: int = 2, restarts: int = 1, synced: bool = True, most: int = 200_000) -> Found:
-    """Elections of three members."""
-    world = World([_member(n, {}) for n in AGENTS], [{} for _ in AGENTS], timers=timers, restarts=restarts)
-    return explore(world, _member_key, group_moves(synced), one_each, most)
+def explore_group(
+    timers: int = 2, restarts: int = 1, synced: bool = True, max_states: int = 200_000
+) -> Exploration:
+    """Explore elections of a group of three members."""
+    world = WorldState([_member(n, {}) for n in AGENTS], [{} for _ in AGENTS], timers=timers, restarts=restarts)
+    return explore(world, _member_key, group_moves(synced), duplicate_leaders, max_states)
 
 
 # --- a site ---
 def _site(me: int, disk: Disk) -> Site:
     kept = disk.get((SITE, STATE), msgspec.msgpack.encode(Kept(newest=Token(4), allowed=2)))
-    site = Site.load(me, AGENTS, CHANCE, kept, Journal(), NOW, life=1 << 20, times=_TIMES, back_votes=1, out=Out())
+    site = Site.load(
+        me, AGENTS, FIXED_RANDOM, kept, Journal(), NOW, life=1 << 20, times=_DEFAULT_TIMES, back_votes=1, out=Out()
+    )
     site.heard_at = site.followed_at = -1e9
     return site
 
@@ -244,29 +248,29 @@
     )
 
 
-_TIMES = Site.__dataclass_fields__["times"].default_factory()  # type: ignore[misc]
+_DEFAULT_TIMES = Site.__dataclass_fields__["times"].default_factory()  # type: ignore[misc]
 
 
-def site_moves(synced: bool) -> Callable[[World], list[World]]:
-    """A timer runs out, a message arrives or is lost, an agent begins again with its disk."""
+def site_moves(synced: bool) -> Callable[[WorldState], list[WorldState]]:
+    """The successor function for a site: timeouts, messages and restarts of agents."""
 
-    def act(world: World, agent: int, do: Callable[[Site, Out], None]) -> World:
+    def act(world: WorldState, agent: int, do: Callable[[Site, Out], None]) -> WorldState:
         out = Out()
         site = world.agents[agent]
         do(site, out)
         site.followed_at = -1e9
         site.lead_at = site.word_at = 0.0
-        world.carry(agent, out, synced)
+        world.perform(agent, out, synced)
         if site.role is SiteRole.COORDINATOR:
             world.led |= {(site.token, agent)}
         return world
 
-    return lambda world: _next(
+    return lambda world: _successors(
         world, act, _site, lambda s: s.role is not SiteRole.COORDINATOR, lambda s, o: s._stand(NOW, False, o)
     )
 
 
-def explore_site(timers: int = 2, restarts: int = 1, synced: bool = True, most: int = 200_000) -> Found:
-    """Elections of a site of three."""
-    world = World([_site(n, {}) for n in AGENTS], [{} for _ in AGENTS], timers=timers, restarts=restarts)
-    return explore(world, _site_key, site_moves(synced), one_each, most)
+def explore_site(timers: int = 2, restarts: int = 1, synced: bool = True, max_states: int = 200_000) -> Exploration:
+    """Explore elections of a coordinator in a site of three agents."""
+    world = WorldState([_site(n, {}) for n in AGENTS], [{} for _ in AGENTS], timers=timers, restarts=restarts)
+    return explore(world, _site_key, site_moves(synced), duplicate_leaders, max_states)
--- a/otterquay/lab/fleetsim/mutants.py
+++ b/otterquay/lab/fleetsim/mutants.py
@@ -1,4 +1,7 @@
-"""Every guard taken out once, by name: what it guards is in its docstring. For laboratories and tests alone."""
+"""Mutants of the program, each with one safety guard removed. For the lab and tests only.
+
+Playing days with a mutant shows that the judge detects the absence of the guard.
+"""
 
 from __future__ import annotations
 
@@ -23,17 +26,17 @@
 Alter = Callable[[Sim], None]
 
 
-def _nothing(sim: Sim) -> None:
-    """The days are as they are."""
+def _unchanged(sim: Sim) -> None:
+    """Leave the simulation unchanged; the mutant patches the program instead."""
 
 
-def patch(where: Any, name: str, instead: Any) -> Callable[[], contextlib.AbstractContextManager[Any]]:
-    """Puts something in the place of a method, for as long as the context lasts."""
-    return lambda: mock.patch.object(where, name, instead)
+def patch(target: Any, name: str, replacement: Any) -> Callable[[], contextlib.AbstractContextManager[Any]]:
+    """Return a factory of context managers that replace an attribute of a class."""
+    return lambda: mock.patch.object(target, name, replacement)
 
 
 @contextlib.contextmanager
-def _none() -> Iterator[None]:
+def _no_patch() -> Iterator[None]:
     yield
 
 
@@ -41,7 +44,7 @@
     sim.yard.fencing = False
 
 
-def _forgetful(sim: Sim) -> None:
+def _no_deduplication(sim: Sim) -> None:
     sim.yard.remembers = False
 
 
@@ -54,15 +57,15 @@
     return (duty, cm.Result(True)) if duty else (None, cm.Result(False, "no duty"))
 
 
-_overdue = Book.overdue
+_original_overdue = Book.overdue
 
 
-def _no_wait(self: Book, now: float, led_at: float, duties: Duties) -> Any:
-    """A fresh leader takes every lease for old."""
-    return _overdue(self, now, -1e9, duties)
+def _no_lease_wait(self: Book, now: float, led_at: float, duties: Duties) -> Any:
+    """A new leader treats every lease as overdue at once."""
+    return _original_overdue(self, now, -1e9, duties)
 
 
-def _sent_first(self: SiteWork, now: float, name: str, kind: str, count: int, out: Out) -> None:
+def _sent_before_recorded(self: SiteWork, now: float, name: str, kind: str, count: int, out: Out) -> None:
     self.errands[name] = Errand(self.site, name, kind, count, self.token)
     _write(self, now, name, kind, count, out)
 
@@ -70,42 +73,45 @@
 _write = SiteWork._write
 
 
-def _orders_alone(self: Duties) -> int:
+def _without_allowances(self: Duties) -> int:
     return sum(self.alive(site, kind) for site, kinds in self.whole.running.items() for kind in kinds) + sum(
         max(o.count, 0) for o in self.whole.orders.values()
     )
 
 
-_order = Site.order
+_original_order = Site.order
 
 
-def _not_reserved(self: Site, now: float, kind: str, count: int, out: Out) -> bool:
-    """Orders at once, on its own word."""
-    done = _order(self, now, kind, count, out)
+def _order_unreserved(self: Site, now: float, kind: str, count: int, out: Out) -> bool:
+    """Orders at once, before a majority of the site has recorded the reservation."""
+    done = _original_order(self, now, kind, count, out)
     self.ready += [(self.token, r.entry, r.act) for r in self.reserves]
     self.reserves.clear()
     return done
 
 
-def _goes_on(self: HandingBack, now: float, out: Out) -> None:
-    """Hands over while it still acts."""
+def _hand_over_while_acting(self: HandingBack, now: float, out: Out) -> None:
+    """Hands its journal over while it still acts as coordinator."""
     if self.busy or self.site.lost(now):
         return
     for token in sorted(self.site.journal.acts):
         return self._hand(now, token, self.site.journal.pieces(token), out)
 
 
-_stop = Site.stop
+_original_stop = Site.stop
 
 
-def _never_stops(self: Site, now: float, reason: str, out: Out) -> None:
+def _keep_coordinating(self: Site, now: float, reason: str, out: Out) -> None:
     if reason != "the group is back":
-        _stop(self, now, reason, out)
+        _original_stop(self, now, reason, out)
 
 
 @contextlib.contextmanager
-def _acts_on() -> Iterator[None]:
-    with mock.patch.object(HandingBack, "step", _goes_on), mock.patch.object(Site, "stop", _never_stops):
+def _act_during_handover() -> Iterator[None]:
+    with (
+        mock.patch.object(HandingBack, "step", _hand_over_while_acting),
+        mock.patch.object(Site, "stop", _keep_coordinating),
+    ):
         yield
 
 
@@ -113,42 +119,42 @@
     return [[act for _, act in sorted(self.acts.get(token, {}).items()) if act]]
 
 
-def _welcome_all(self: Joining, sender: int, hello: Any) -> str:
+def _admit_everyone(self: Joining, sender: int, hello: Any) -> str:
     return ""
 
 
-def _own_word(self: Member, now: float, out: Out) -> None:
-    """Commits what a majority has, whatever its term (the paper's figure 8)."""
+def _commit_any_term(self: Member, now: float, out: Out) -> None:
+    """Commits an entry that a majority stores, whatever its term (figure 8 of the Raft paper)."""
     matches = sorted([self.lasting, *(p.match for p in self.peers.values())], reverse=True)
     if matches[self.majority - 1] > self.commit:
         self.commit = matches[self.majority - 1]
         self._apply(now, out)
 
 
-_load = Site.load.__func__  # type: ignore[attr-defined]
+_original_load = Site.load.__func__  # type: ignore[attr-defined]
 
 
-def _trusting(cls: Any, *args: Any) -> Site:
-    site: Site = _load(cls, *args)
+def _load_unbarred(cls: Any, *args: Any) -> Site:
+    site: Site = _original_load(cls, *args)
     site.kept.barred = -1
     return site
 
 
 @contextlib.contextmanager
-def _amnesia() -> Iterator[None]:
-    """An agent with an empty or older disk votes in its site as if it had promised nothing."""
+def _vote_with_lost_disk() -> Iterator[None]:
+    """An agent with an empty or older disk votes in its site as if it had no earlier vote."""
     with (
-        mock.patch.object(Site, "load", classmethod(_trusting)),
+        mock.patch.object(Site, "load", classmethod(_load_unbarred)),
         mock.patch.object(Site, "forgot", lambda self, now, out: None),
     ):
         yield
 
 
-def _no_settlement(self: SiteWork, now: float, beat: Any, out: Out) -> None:
+def _no_reconciliation(self: SiteWork, now: float, beat: Any, out: Out) -> None:
     self.phase = "run"
 
 
-def _credits_all(self: Duties, site: str, token: Any, acts: list[cm.Act]) -> None:
+def _record_acts_again(self: Duties, site: str, token: Any, acts: list[cm.Act]) -> None:
     for act in acts:
         if act.what == "order" and act.id not in self.whole.orders:
             _take(self, site, token, [act])
@@ -157,58 +163,70 @@
 
 _take = Duties._take
 
-# name: what alters the day, what patches the program, the count that shows it
+# by name: change to the simulation, patch of the program, counts of the judge that detect it
 MUTANTS: dict[str, tuple[Alter, Callable[[], contextlib.AbstractContextManager[Any]], tuple[str, ...]]] = {
-    "no fencing at the yard": (_no_fence, _none, ("late_harm",)),
-    "no token at the group": (_nothing, patch(Duties, "_owned", _any_token), ("late_harm",)),
-    "a new leader does not wait": (_nothing, patch(Book, "overdue", _no_wait), ("two_owners",)),
+    "no fencing at the yard": (_no_fence, _no_patch, ("late_harm",)),
+    "no token at the group": (_unchanged, patch(Duties, "_owned", _any_token), ("late_harm",)),
+    "a new leader does not wait": (_unchanged, patch(Book, "overdue", _no_lease_wait), ("two_owners",)),
     "votes and entries not synced": (
         _no_sync,
-        _none,
+        _no_patch,
         ("state_differs", "tokens_back", "two_owners", "orders_lost", "two_coordinators", "acts_lost", "late_harm"),
     ),
     "order sent before it is written": (
-        _nothing,
-        patch(SiteWork, "_write", _sent_first),
+        _unchanged,
+        patch(SiteWork, "_write", _sent_before_recorded),
         ("orders_lost", "over_allowance"),
     ),
-    "allowance not held apart": (_nothing, patch(Duties, "taken", _orders_alone), ("over_allowance",)),
+    "allowance not held apart": (_unchanged, patch(Duties, "taken", _without_allowances), ("over_allowance",)),
     "coordinator by a minority": (
-        _nothing,
+        _unchanged,
         patch(Site, "majority", property(lambda self: 1)),
         ("two_coordinators", "over_allowance", "two_owners"),
     ),
-    "order before a majority has reserved": (_nothing, patch(Site, "order", _not_reserved), ("over_allowance",)),
+    "order before a majority has reserved": (
+        _unchanged,
+        patch(Site, "order", _order_unreserved),
+        ("over_allowance",),
+    ),
     "acts on while handing back": (
-        _nothing,
-        _acts_on,
+        _unchanged,
+        _act_during_handover,
         ("acts_lost", "late_harm", "over_allowance", "orders_lost", "acts_twice"),
     ),
     "acts that were never sent are handed over": (
-        _nothing,
+        _unchanged,
         patch(Journal, "pieces", _all_acts),
         ("over_allowance",),
     ),
     "empty and old disks vote in the group": (
-        _nothing,
-        patch(Joining, "_against", _welcome_all),
+        _unchanged,
+        patch(Joining, "_against", _admit_everyone),
         ("state_differs", "tokens_back", "two_owners", "orders_lost"),
     ),
     "empty and old disks vote in the site": (
-        _nothing,
-        _amnesia,
+        _unchanged,
+        _vote_with_lost_disk,
         ("two_coordinators", "over_allowance", "two_owners"),
     ),
-    "entries of earlier terms committed alone": (_nothing, patch(Member, "_commit", _own_word), ("state_differs",)),
-    "orders known by no id at the yard": (_forgetful, _none, ("orders_repeated", "acts_twice", "over_allowance")),
+    "entries of earlier terms committed alone": (
+        _unchanged,
+        patch(Member, "_commit", _commit_any_term),
+        ("state_differs",),
+    ),
+    "orders known by no id at the yard": (
+        _no_deduplication,
+        _no_patch,
+        ("orders_repeated", "acts_twice", "over_allowance"),
+    ),
     "no settlement with the yard's list": (
-        _nothing,
-        patch(SiteWork, "_found", _no_settlement),
+        _unchanged,
+        patch(SiteWork, "_found", _no_reconciliation),
         ("acts_lost", "over_allowance"),
     ),
     "a journal taken again each time it is told": (
-        _nothing,
-        patch(Duties, "_take", _credits_all),
+        _unchanged,
+        patch(Duties, "_take", _record_acts_again),
         ("acts_twice", "over_allowance", "acts_lost"),
     ),
 }
--- a/otterquay/lab/fleetsim/spread_mutants.py
+++ b/otterquay/lab/fleetsim/spread_mutants.py
@@ -1,4 +1,4 @@
-"""Guards of the posts, each taken out once. For laboratories and tests alone."""
+"""Mutants of the program, each with one guard of the posts removed. For the lab and tests only."""
 
 from __future__ import annotations
 
@@ -19,69 +19,69 @@
 from otterquay.group.parts import Role
 from otterquay.lab.fleetsim.mutants import patch
 
-_free = Chief.free
+_original_free = Chief.free
 
 
-def _at_once(self: Chief, now: float, name: str, post: Any) -> bool:
-    """A post is given away while its holder may think that it holds it."""
+def _free_at_once(self: Chief, now: float, name: str, post: Any) -> bool:
+    """A post is reassigned while its holder may still have a valid lease."""
     return True
 
 
-def _no_leases(self: Chief, now: float, name: str, post: Any) -> bool:
-    """A fresh leader takes every lease that it does not know for run out."""
+def _unknown_leases_expired(self: Chief, now: float, name: str, post: Any) -> bool:
+    """A new leader treats every lease that it does not know as expired."""
     if post.owner is not None and post.owner not in self.leases:
         return True
-    return _free(self, now, name, post)
+    return _original_free(self, now, name, post)
 
 
 def _any_status(self: Chief, now: float, name: str, post: Any) -> bool:
-    """A status that does not name a post frees it, whenever it was sent."""
+    """Any status that does not name a post frees it, even one sent before the post was assigned."""
     heard, out = self.heard.get(post.owner), self.leaving.get(name)
     if heard and out and post.token.group not in heard.holding:
         return True
-    return _free(self, now, name, post)
+    return _original_free(self, now, name, post)
 
 
 def _any_token(self: Posts, agent: int, life: int, reports: list[Any]) -> int:
-    """Reports are taken from whoever sends them."""
+    """Reports are accepted under any token."""
     for report in reports:
         if post := self.posts.get(report.post):
             post.told += 1
     return 0
 
 
-def _for_good(self: Holder, now: float) -> dict[str, Token]:
-    """A holder goes on until it is told otherwise."""
+def _keep_posts(self: Holder, now: float) -> dict[str, Token]:
+    """A holder keeps its posts after its lease has expired."""
     return self.posts
 
 
-def _any_answer(self: Holder, now: float, number: int, posts: Iterable[tuple[str, Token]]) -> None:
-    """Answers count from when they come, and late ones, too."""
+def _accept_late_answer(self: Holder, now: float, number: int, posts: Iterable[tuple[str, Token]]) -> None:
+    """Leases count from the arrival of an answer, not from the request, and late answers are accepted."""
     self.applied, self.until, self.posts = max(number, self.applied), now + self.terms.group, dict(posts)
 
 
-def _own_word(self: Member, now: float, done: Callable[[float, Out], None], out: Out) -> bool:
-    """A leader answers reads without asking whether it still leads."""
+def _read_unconfirmed(self: Member, now: float, done: Callable[[float, Out], None], out: Out) -> bool:
+    """A leader answers reads without confirming that it still leads."""
     if self.role is not Role.LEADER or self.commit < self.first:
         return False
     done(now, out)
     return True
 
 
-_books = Desk.books
+_original_books = Desk.books
 
 
 @contextlib.contextmanager
-def _old_books() -> Iterator[None]:
-    """Books of up to five seconds ago, as from a copy that lags."""
-    kept: dict[tuple[int, str], tuple[float, Any]] = {}
+def _stale_books() -> Iterator[None]:
+    """Records of up to five seconds ago, as from a replica that lags."""
+    cache: dict[tuple[int, str], tuple[float, Any]] = {}
 
     def books(self: Desk, site: str, number: int) -> Any:
         now = self.member.beat_at
-        at, found = kept.get((id(self), site), (-1e9, None))
+        at, found = cache.get((id(self), site), (-1e9, None))
         if now - at > 5.0:
-            found = _books(self, site, number)
-            kept[id(self), site] = now, found
+            found = _original_books(self, site, number)
+            cache[id(self), site] = now, found
         return msgspec.structs.replace(found, number=number)
 
     with mock.patch.object(Desk, "books", books):
@@ -90,18 +90,18 @@
 
 @contextlib.contextmanager
 def _late_answers() -> Iterator[None]:
-    with mock.patch.object(Holder, "answered", _any_answer):
+    with mock.patch.object(Holder, "answered", _accept_late_answer):
         yield
 
 
-# name: what patches the program, the counts that show it
+# by name: patch of the program, counts of the judge that detect it
 MUTANTS: dict[str, tuple[Callable[[], contextlib.AbstractContextManager[Any]], tuple[str, ...]]] = {
-    "a post given away at once": (patch(Chief, "free", _at_once), ("two_owners",)),
-    "a fresh leader knows no leases": (patch(Chief, "free", _no_leases), ("two_owners",)),
+    "a post given away at once": (patch(Chief, "free", _free_at_once), ("two_owners",)),
+    "a fresh leader knows no leases": (patch(Chief, "free", _unknown_leases_expired), ("two_owners",)),
     "any status frees a post": (patch(Chief, "free", _any_status), ("two_owners",)),
     "reports under any token": (patch(Posts, "looked", _any_token), ("late_harm",)),
-    "a holder's lease never ends": (patch(Holder, "held", _for_good), ("two_owners",)),
-    "books that lag": (_old_books, ("stale_reads",)),
-    "reads without asking a majority": (patch(Member, "read", _own_word), ("stale_reads",)),
+    "a holder's lease never ends": (patch(Holder, "held", _keep_posts), ("two_owners",)),
+    "books that lag": (_stale_books, ("stale_reads",)),
+    "reads without asking a majority": (patch(Member, "read", _read_unconfirmed), ("stale_reads",)),
     "late answers count from when they come": (_late_answers, ("two_owners",)),
 }
