--- a/otterquay/lab/cluster/__init__.py
+++ b/otterquay/lab/cluster/__init__.py
@@ -1,3 +1,1 @@
-"""Several processes of the program with faults between them, judged by what crossed the relays and reached the
-yard.
-"""
+"""Runs agent processes with injected faults, and judges them by the traffic through the relays and to the yard."""
--- a/otterquay/lab/cluster/day.py
+++ b/otterquay/lab/cluster/day.py
@@ -1,4 +1,4 @@
-"""A cluster day as HCL: sites and members, what is wanted of the yard, and troubles, by time or by what crosses."""
+"""The schema of a cluster day in HCL: sites, wanted servers, and troubles triggered by time or by a message."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class SitePlan(Block):
-    """A site: how many agents, how many of them are members, and the servers wanted there by kind."""
+    """A site: the number of agents, of members among them, and of wanted servers by kind."""
 
     agents: Positive
     members: Count = 0
@@ -44,16 +44,16 @@
 
 
 class Trouble(Block):
-    """Something that goes wrong at a time, or at the first crossing of `when` after it.
+    """A fault injected at a time, or at the first message of the type `when` after it.
 
-    `who` is an agent's number, or "leader", "owner:DUTY", "coordinator:SITE" as the wires show it then.
+    `who` is an agent's number, or "leader", "owner:DUTY" or "coordinator:SITE" as last seen on the wire.
     """
 
     kind: Kind
     at: Duration
     lasts: Duration = 0.0
     when: Literal["", "order", "claim", "handover", "yard_order", "lead"] = ""
-    after: Duration = 0.0  # from the crossing on
+    after: Duration = 0.0  # delay after the message of the type `when`
     who: str = ""
     site: str = ""
     inward: bool = False
@@ -67,7 +67,7 @@
 
 
 class ClusterDay(Block):
-    """A whole day. `rate` is requests a second through all agents, judged by the auditor of the five rules."""
+    """A whole day. `rate` is in requests per second over all agents; the auditor checks the five rules on them."""
 
     duration: Duration
     rest: Duration = 60000.0
@@ -75,8 +75,8 @@
     machines: Positive = 4
     bound: Positive
     allowance: Count = 3
-    owes: Duration = 0.0  # by when an owner has to have brought something; 0: no posts
-    ends_every: Duration = 1500.0  # a server ends somewhere, so that there is always something to order
+    owes: Duration = 0.0  # time within which an owner must have reported progress; 0: no posts
+    ends_every: Duration = 1500.0  # interval at which a server ends, so that owners always have one to order
     site: Annotated[dict[str, SitePlan], LABELLED] = Field(min_length=1)
     trouble: Annotated[list[Trouble], REPEATED] = []
 
@@ -95,5 +95,5 @@
 
 
 def load_cluster_day(path: Path) -> ClusterDay:
-    """A checked day; ConfigError."""
+    """Load and validate a day; raises ConfigError."""
     return load_document(ClusterDay, path)
--- a/otterquay/lab/cluster/faults/__init__.py
+++ b/otterquay/lab/cluster/faults/__init__.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a cluster day: each kind is a function of the world, the trouble and the agent named.
+"""The troubles of a cluster day. Each kind is a function of the world, the trouble and the agent that it names.
 
-A kind returns what takes it back, or runs to its own end as a coroutine.
+A function returns a function that undoes the trouble, or is a coroutine that runs until the trouble has ended.
 """
--- a/otterquay/lab/cluster/faults/disks.py
+++ b/otterquay/lab/cluster/faults/disks.py
@@ -1,4 +1,4 @@
-"""Disks that are empty, old or full."""
+"""Troubles of disks: emptied, replaced by an older copy, or full."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
     from otterquay.lab.cluster.world import ClusterWorld
 
 
-async def empty(world: ClusterWorld, one: Trouble, number: int) -> None:
-    """It dies and comes back with nothing."""
+async def empty(world: ClusterWorld, trouble: Trouble, number: int) -> None:
+    """Kill an agent and start it again with an empty disk."""
     gone = await down(world, [number])
     shutil.rmtree(world.host(number).disk, ignore_errors=True)
-    await up(world, gone, one.lasts / 1e3)
+    await up(world, gone, trouble.lasts / 1e3)
 
 
-async def old(world: ClusterWorld, one: Trouble, number: int) -> None:
-    """A copy while it is down; it works on for `lasts`; then the copy takes the disk's place."""
+async def old(world: ClusterWorld, trouble: Trouble, number: int) -> None:
+    """Copy an agent's disk while it is down, let it run for `lasts`, then replace its disk with the copy."""
     host = world.host(number)
     gone = await down(world, [number])
-    copy = host.copy()
+    copy = host.copy_disk()
     await up(world, gone, 0.1)
-    await asyncio.sleep(one.lasts / 1e3)
+    await asyncio.sleep(trouble.lasts / 1e3)
     gone = await down(world, [number])
     shutil.rmtree(host.disk, ignore_errors=True)
     shutil.copytree(copy, host.disk)
     await up(world, gone, 0.1)
 
 
-async def full(world: ClusterWorld, one: Trouble, number: int) -> None:
-    """No file of the process may grow any more (RLIMIT_FSIZE of a running process, by prlimit)."""
+async def full(world: ClusterWorld, trouble: Trouble, number: int) -> None:
+    """Make writes fail: limit the file size of the running process (RLIMIT_FSIZE, by prlimit)."""
     if pid := world.host(number).pid:
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (4096, 4096))
-    await asyncio.sleep(one.lasts / 1e3)
+    await asyncio.sleep(trouble.lasts / 1e3)
     await up(world, await down(world, [number]), 0.1)
--- a/otterquay/lab/cluster/faults/words.py
+++ b/otterquay/lab/cluster/faults/false_reports.py
@@ -1,4 +1,4 @@
-"""Somebody with the key who tells what cannot be."""
+"""Trouble by a sender that has the group's key and reports impossible run times."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from otterquay.fleet import words
 from otterquay.fleet.transport import Transport, group_number
 from otterquay.lab.cluster.day import Trouble
-from otterquay.lab.cluster.settings import NAME
+from otterquay.lab.cluster.settings import GROUP_NAME
 from otterquay.logs import silent
 from otterquay.runtimes import rows as rw
 
@@ -18,21 +18,21 @@
     from otterquay.lab.cluster.world import ClusterWorld
 
 
-async def nonsense(world: ClusterWorld, one: Trouble, number: int) -> None:
-    """Speaks as an agent, to all, of run times that cannot be."""
-    others = {a: at for a, at in world.numbers.items() if a != number}
-    liar = Transport(
+async def nonsense(world: ClusterWorld, trouble: Trouble, number: int) -> None:
+    """Send all agents impossible run times under the number of one agent."""
+    others = {a: address for a, address in world.addresses.items() if a != number}
+    reporter = Transport(
         number,
         "127.0.0.1:0",
         others,
-        group_number(NAME),
+        group_number(GROUP_NAME),
         world.key,
         random.Random(world.seed),
         lambda *_: None,
         silent(),
     )
-    world.liars.append(liar)
-    until = world.now() + one.lasts / 1e3
+    world.false_reporters.append(reporter)
+    until = world.now() + trouble.lasts / 1e3
     version = 1
     while world.now() < until:
         rows = [
@@ -41,6 +41,6 @@
             for server in range(20)
         ]
         for other in world.sites:
-            liar.send(other, words.encode(dm.Rows(rw.encode(rows))))
+            reporter.send(other, words.encode(dm.Rows(rw.encode(rows))))
         version += 1
         await asyncio.sleep(0.2)
--- a/otterquay/lab/cluster/faults/links.py
+++ b/otterquay/lab/cluster/faults/links.py
@@ -1,4 +1,4 @@
-"""Cuts, one-way cuts, flapping and lossy links."""
+"""Troubles of links: cuts in one or both directions, flapping, loss, repeats and delays."""
 
 from __future__ import annotations
 
@@ -17,65 +17,65 @@
 
 
 def cut(world: ClusterWorld, directions: list[tuple[int, int]]) -> Undo:
-    """Cut these directions; cuts of one link add up."""
+    """Cut these directions; overlapping cuts of one direction are counted."""
     for pair in directions:
-        world.wires[pair].cuts += 1
+        world.link_faults[pair].cuts += 1
 
-    def heal() -> None:
+    def undo() -> None:
         for pair in directions:
-            world.wires[pair].cuts -= 1
+            world.link_faults[pair].cuts -= 1
 
-    return heal
+    return undo
 
 
-def inside(world: ClusterWorld, site: str) -> tuple[list[int], list[int]]:
-    """The agents of a site, and all others."""
-    here = [a for a, s in world.sites.items() if s == site]
-    return here, [a for a in world.sites if a not in here]
+def split_agents(world: ClusterWorld, site: str) -> tuple[list[int], list[int]]:
+    """The agents of a site, and all other agents."""
+    inside = [a for a, s in world.sites.items() if s == site]
+    return inside, [a for a in world.sites if a not in inside]
 
 
-def cut_site(world: ClusterWorld, one: Trouble, _: int) -> Undo:
-    """A site from all others."""
-    return cut(world, both_directions(*inside(world, one.site)))
+def cut_site(world: ClusterWorld, trouble: Trouble, _: int) -> Undo:
+    """Cut a site off from all others."""
+    return cut(world, both_directions(*split_agents(world, trouble.site)))
 
 
-def split_site(world: ClusterWorld, one: Trouble, _: int) -> Undo:
-    """A site in two halves."""
-    here, _ignored = inside(world, one.site)
-    half = len(here) // 2
-    return cut(world, both_directions(here[:half], here[half:]))
+def split_site(world: ClusterWorld, trouble: Trouble, _: int) -> Undo:
+    """Cut the links between two halves of a site."""
+    inside, _ignored = split_agents(world, trouble.site)
+    half = len(inside) // 2
+    return cut(world, both_directions(inside[:half], inside[half:]))
 
 
 def cut_agent(world: ClusterWorld, _: Trouble, number: int) -> Undo:
-    """One agent from all others."""
+    """Cut one agent off from all others."""
     return cut(world, both_directions([number], [a for a in world.sites if a != number]))
 
 
-def one_way(world: ClusterWorld, one: Trouble, number: int) -> Undo:
-    """What one agent says, or hears (`inward`)."""
+def one_way(world: ClusterWorld, trouble: Trouble, number: int) -> Undo:
+    """Cut what one agent sends, or with `inward` what it receives."""
     others = [a for a in world.sites if a != number]
-    return cut(world, [(o, number) if one.inward else (number, o) for o in others])
+    return cut(world, [(o, number) if trouble.inward else (number, o) for o in others])
 
 
-async def flap(world: ClusterWorld, one: Trouble, _: int) -> None:
-    """A site cut off again and again."""
+async def flap(world: ClusterWorld, trouble: Trouble, _: int) -> None:
+    """Cut a site off repeatedly, for random times."""
     rng = random.Random(world.seed + 3)
-    for _i in range(one.times):
-        undo = cut(world, both_directions(*inside(world, one.site)))
+    for _i in range(trouble.times):
+        undo = cut(world, both_directions(*split_agents(world, trouble.site)))
         try:
-            await asyncio.sleep(rng.uniform(0.3, 1.0) * one.lasts / 1e3)
+            await asyncio.sleep(rng.uniform(0.3, 1.0) * trouble.lasts / 1e3)
         finally:
             undo()
         await asyncio.sleep(rng.uniform(0.2, 1.0))
 
 
-def lossy(world: ClusterWorld, one: Trouble, _: int) -> Undo:
-    """All links lose, repeat and delay."""
-    for wire in world.wires.values():
-        wire.loss, wire.repeat, wire.late_s = one.loss, one.repeat, one.late / 1e3
+def lossy(world: ClusterWorld, trouble: Trouble, _: int) -> Undo:
+    """Make all links lose, repeat and delay messages."""
+    for faults in world.link_faults.values():
+        faults.loss, faults.repeat, faults.late_s = trouble.loss, trouble.repeat, trouble.late / 1e3
 
     def undo() -> None:
-        for wire in world.wires.values():
-            wire.loss = wire.repeat = wire.late_s = 0.0
+        for faults in world.link_faults.values():
+            faults.loss = faults.repeat = faults.late_s = 0.0
 
     return undo
--- a/otterquay/lab/cluster/faults/processes.py
+++ b/otterquay/lab/cluster/faults/processes.py
@@ -1,4 +1,4 @@
-"""Processes that stand still, die and come again."""
+"""Troubles of processes: suspension, kills and restarts."""
 
 from __future__ import annotations
 
@@ -16,55 +16,55 @@
 
 
 def stop(world: ClusterWorld, _: Trouble, number: int) -> Callable[[], None]:
-    """SIGSTOP; what takes it back is SIGCONT."""
-    if number in world.running and number not in world.stopped:
+    """Suspend an agent by SIGSTOP; the undo function resumes it by SIGCONT."""
+    if number in world.running and number not in world.suspended_since:
         world.agents[number].pause(True)
-        world.stopped[number] = world.now()
-    return partial(world.go_on, number)
+        world.suspended_since[number] = world.now()
+    return partial(world.resume_agent, number)
 
 
 async def down(world: ClusterWorld, numbers: list[int]) -> list[int]:
-    """SIGKILL for all at one moment; the numbers of those that ran."""
-    ran = [n for n in numbers if world.running.pop(n, None) is not None]
-    for number in ran:
-        world.go_on(number)
-        world.host(number).strike()
-    for number in ran:
+    """Kill agents at one moment by SIGKILL; returns those that were running."""
+    were_running = [n for n in numbers if world.running.pop(n, None) is not None]
+    for number in were_running:
+        world.resume_agent(number)
+        world.host(number).send_kill()
+    for number in were_running:
         await world.host(number).kill()
         world.tape.add(AgentDown(world.now(), number, "killed"))
-    return ran
+    return were_running
 
 
 async def up(world: ClusterWorld, numbers: list[int], after_s: float) -> None:
-    """Start them again after a while."""
+    """Start agents after a delay."""
     await asyncio.sleep(after_s)
-    await asyncio.gather(*(world.again(n) for n in numbers))
+    await asyncio.gather(*(world.restart_agent(n) for n in numbers))
 
 
-async def kill(world: ClusterWorld, one: Trouble, number: int) -> None:
-    """One of them."""
-    await up(world, await down(world, [number]), one.lasts / 1e3)
+async def kill(world: ClusterWorld, trouble: Trouble, number: int) -> None:
+    """Kill one agent and start it again."""
+    await up(world, await down(world, [number]), trouble.lasts / 1e3)
 
 
-async def kill_all(world: ClusterWorld, one: Trouble, _: int) -> None:
-    """All of them."""
-    await up(world, await down(world, list(world.sites)), one.lasts / 1e3)
+async def kill_all(world: ClusterWorld, trouble: Trouble, _: int) -> None:
+    """Kill all agents and start them again."""
+    await up(world, await down(world, list(world.sites)), trouble.lasts / 1e3)
 
 
-async def lose_majority(world: ClusterWorld, one: Trouble, _: int) -> None:
-    """More than half of the members."""
-    some = world.members[: len(world.members) // 2 + 1]
-    await up(world, await down(world, some), one.lasts / 1e3)
+async def lose_majority(world: ClusterWorld, trouble: Trouble, _: int) -> None:
+    """Kill a majority of the members and start them again."""
+    chosen = world.members[: len(world.members) // 2 + 1]
+    await up(world, await down(world, chosen), trouble.lasts / 1e3)
 
 
-async def kill_most(world: ClusterWorld, one: Trouble, _: int) -> None:
-    """Seven in ten at one moment."""
-    some = random.Random(world.seed + 5).sample(sorted(world.sites), 7 * len(world.sites) // 10)
-    await up(world, await down(world, some), one.lasts / 1e3)
+async def kill_most(world: ClusterWorld, trouble: Trouble, _: int) -> None:
+    """Kill seven in ten agents at one moment and start them again."""
+    chosen = random.Random(world.seed + 5).sample(sorted(world.sites), 7 * len(world.sites) // 10)
+    await up(world, await down(world, chosen), trouble.lasts / 1e3)
 
 
-async def roll(world: ClusterWorld, one: Trouble, _: int) -> None:
-    """SIGTERM for all, a tenth at a time (one at the least): each hands over, ends, and is started again."""
+async def roll(world: ClusterWorld, trouble: Trouble, _: int) -> None:
+    """Restart all agents by SIGTERM, at least one and otherwise a tenth at a time, each with a handover."""
     numbers = sorted(world.sites)
     step = max(len(numbers) // 10, 1)
     for i in range(0, len(numbers), step):
@@ -72,4 +72,4 @@
         await asyncio.gather(*(world.host(n).stop() for n in ended))
         for number in ended:
             world.tape.add(AgentDown(world.now(), number, "stopped"))
-        await up(world, ended, one.after / 1e3)
+        await up(world, ended, trouble.after / 1e3)
--- a/otterquay/lab/cluster/faults/table.py
+++ b/otterquay/lab/cluster/faults/table.py
@@ -1,8 +1,8 @@
-"""Kinds of trouble by name."""
+"""The functions of troubles by the name of the kind."""
 
 from __future__ import annotations
 
-from otterquay.lab.cluster.faults import disks, links, processes, words, yard
+from otterquay.lab.cluster.faults import disks, false_reports, links, processes, yard
 
 KINDS = {
     "stop": processes.stop,
@@ -15,13 +15,13 @@
     "one_way": links.one_way,
     "flap": links.flap,
     "links": links.lossy,
-    "yard": yard.unsure,
+    "yard": yard.unreliable,
     "late_yard": yard.late,
     "servers_end": yard.servers_end,
     "empty_disk": disks.empty,
     "old_disk": disks.old,
     "full_disk": disks.full,
-    "nonsense": words.nonsense,
+    "nonsense": false_reports.nonsense,
     "gray": yard.gray,
     "roll": processes.roll,
     "kill_most": processes.kill_most,
--- a/otterquay/lab/cluster/faults/yard.py
+++ b/otterquay/lab/cluster/faults/yard.py
@@ -1,4 +1,4 @@
-"""A yard that loses, does half, is late; servers that end."""
+"""Troubles of the yard: lost or late answers, partly executed orders, and servers that end."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
     from otterquay.lab.cluster.world import ClusterWorld
 
 
-def unsure(world: ClusterWorld, one: Trouble, _: int) -> Callable[[], None]:
-    """Answers lost and late, orders done by half."""
+def unreliable(world: ClusterWorld, trouble: Trouble, _: int) -> Callable[[], None]:
+    """Lose and delay answers, and execute orders only in part."""
     yard = world.yard
-    yard.lose, yard.late_s, yard.book.half = one.loss, one.late / 1e3, one.half
+    yard.lose, yard.late_s, yard.ledger.half = trouble.loss, trouble.late / 1e3, trouble.half
 
     def undo() -> None:
-        yard.lose = yard.late_s = yard.book.half = 0.0
+        yard.lose = yard.late_s = yard.ledger.half = 0.0
 
     return undo
 
 
-def late(world: ClusterWorld, one: Trouble, number: int) -> Callable[[], None]:
-    """What an agent asks of the yard is on the way for so long: it was sent before, and arrives after."""
-    state = world.yards[number]
-    state.delay_s = one.late / 1e3
+def late(world: ClusterWorld, trouble: Trouble, number: int) -> Callable[[], None]:
+    """Delay an agent's traffic with the yard, so that a request sent under a valid lease arrives after its loss."""
+    state = world.yard_link_states[number]
+    state.delay_s = trouble.late / 1e3
     return lambda: setattr(state, "delay_s", 0.0)
 
 
-def gray(world: ClusterWorld, one: Trouble, number: int) -> Callable[[], None]:
-    """An agent is there and renews what it owns, and the yard hears nothing of it: what it asks hangs."""
-    state = world.yards[number]
+def gray(world: ClusterWorld, trouble: Trouble, number: int) -> Callable[[], None]:
+    """Cut an agent off from the yard only: it goes on renewing its leases, while its requests to the yard hang."""
+    state = world.yard_link_states[number]
     state.cut = True
     return lambda: setattr(state, "cut", False)
 
 
-def servers_end(world: ClusterWorld, one: Trouble, _: int) -> None:
-    """So many of each kind that a site wants."""
-    for kind in world.cluster.site[one.site].want:
-        world.yard.book.end(one.site, kind, one.count)
+def servers_end(world: ClusterWorld, trouble: Trouble, _: int) -> None:
+    """End `count` servers of each kind that a site wants."""
+    for kind in world.cluster.site[trouble.site].want:
+        world.yard.ledger.end(trouble.site, kind, trouble.count)
--- a/otterquay/lab/cluster/host.py
+++ b/otterquay/lab/cluster/host.py
@@ -1,4 +1,4 @@
-"""An agent's process in the cluster, and its disk."""
+"""The host of an agent process in a cluster day, with access to its disk."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 @dataclass(eq=False)
-class Clustered(Process):
-    """An agent of the cluster; its disk may be taken away, copied and put back while it is down."""
+class ClusterHost(Process):
+    """An agent process whose disk can be removed, copied and replaced while it is down."""
 
     @property
     def disk(self) -> Path:
-        """Its folder."""
+        """The folder of the agent's store."""
         return self.logs / f"agent-{self.place.number}.store"
 
-    def copy(self) -> Path:
-        """A copy of the disk as it is now."""
+    def copy_disk(self) -> Path:
+        """Copy the store; returns the folder of the copy."""
         to = self.logs / f"agent-{self.place.number}.copy"
         shutil.rmtree(to, ignore_errors=True)
         shutil.copytree(self.disk, to)
@@ -27,10 +27,10 @@
 
     @property
     def pid(self) -> int | None:
-        """Of the process, if it runs."""
+        """The id of the running process, if any."""
         return self.process.pid if self.process and self.process.returncode is None else None
 
-    def strike(self) -> None:
-        """SIGKILL without waiting for its end, so that several die at one moment."""
+    def send_kill(self) -> None:
+        """Send SIGKILL without waiting for the exit, so that several processes can be killed at once."""
         if self.process and self.process.returncode is None:
             self.process.kill()
--- a/otterquay/lab/cluster/play.py
+++ b/otterquay/lab/cluster/play.py
@@ -1,4 +1,4 @@
-"""Plays a cluster day and sums it up."""
+"""Plays a cluster day and summarizes the result."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """`counts` are what must be zero, `violations` of the five rules among them; `figures` what was measured."""
+    """`counts` must all be zero, including `violations` of the five rules; `figures` are measurements."""
 
     counts: dict[str, int]
     notes: list[str]
@@ -26,7 +26,7 @@
 
     @property
     def good(self) -> bool:
-        """Nothing that must not be was, and the fleet came to rest."""
+        """Whether there was no violation and the fleet settled."""
         return self.rested and not any(self.counts.values())
 
 
@@ -37,10 +37,10 @@
     folder: Path,
     say: Callable[[str], None] = lambda text: None,
 ) -> Result:
-    """A day with processes of the program; their settings, logs and disks stay in `folder`."""
+    """Play a day with agent processes; their settings, logs and disks stay in `folder`."""
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
-        raise FileExistsError(f"{folder} is not empty: disks of another run would be taken for this one's")
+        raise FileExistsError(f"{folder} is not empty: agents would start from the disks of another run")
     service = load_service(base)
     world = ClusterWorld(
         day_of(day), service, seed, lambda place: world.place(place), say, cluster=day, folder=folder, base=base
@@ -50,20 +50,20 @@
     report = Auditor(world.tape, service, TOLERANCE_S).judge()
     broken = [f"{rule}: {text}" for rule, texts in report.violations.items() for text in texts]
     counts = {**world.judge.summary(), "violations": len(broken)}
-    seen = world.seen
-    unowned = sorted(gap for gaps in seen.unowned.values() for gap in gaps)
+    observer = world.observer
+    unowned = sorted(gap for gaps in observer.unowned_s.values() for gap in gaps)
     figures = {
         "agents": len(world.sites),
         "rest_s": round(world.rest_s, 1),
-        "entries": seen.done,
-        "grants": seen.books.whole.tokens,
-        "acts_of_coordinators": seen.books.whole.acts,
+        "entries": observer.applied_index,
+        "grants": observer.books.whole.tokens,
+        "acts_of_coordinators": observer.books.whole.acts,
         "coordinators": len(world.judge.leads),
-        "refused_as_stale": sum(e.what == "stale" for e in world.yard.book.tape),
-        "started": sum(e.what == "started" for e in world.yard.book.tape),
+        "refused_as_stale": sum(e.what == "stale" for e in world.yard.ledger.tape),
+        "started": sum(e.what == "started" for e in world.yard.ledger.tape),
         "without_owner_s": [round(g, 2) for g in (unowned[len(unowned) // 2], unowned[-1])] if unowned else [],
-        "posts": len(seen.books.whole.spread.posts),
+        "posts": len(observer.books.whole.spread.posts),
         "posts_moved": len(world.judge.moves),
-        "messages": dict(sorted(seen.counts.items())),
+        "messages": dict(sorted(observer.counts.items())),
     }
     return Result(counts, [*world.judge.notes, *broken][:40], figures, world.rested)
--- a/otterquay/lab/cluster/settings.py
+++ b/otterquay/lab/cluster/settings.py
@@ -1,4 +1,4 @@
-"""The agents' settings of a cluster day: the blocks of the fleet's own work, behind the day's relays."""
+"""Generates the settings blocks `group` and `capacity` of each agent of a cluster day."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from otterquay.lab.cluster.day import ClusterDay
 
-NAME = "lab"
-GROUP = """
+GROUP_NAME = "lab"
+GROUP_TEMPLATE = """
 group {{
   name     = "{name}"
   members  = {members}
@@ -31,12 +31,12 @@
 """
 
 
-AGENT = """  agent "{number}" {{
+AGENT_TEMPLATE = """  agent "{number}" {{
     address = "{address}"
     zone    = "{zone}"
   }}
 """
-SITE = """  site "{name}" {{
+SITE_TEMPLATE = """  site "{name}" {{
     want = {{ {want} }}
   }}
 """
@@ -51,16 +51,16 @@
     sites: Mapping[int, str],
     yard: str,
 ) -> str:
-    """The blocks `group` and `capacity` of one agent; `addresses` are the others' as it reaches them."""
+    """The blocks of one agent. `addresses` are those of the relays by which it reaches the other agents."""
     agents = "".join(
-        AGENT.format(number=b, address=addresses.get(b, listen), zone=site) for b, site in sites.items()
+        AGENT_TEMPLATE.format(number=b, address=addresses.get(b, listen), zone=site) for b, site in sites.items()
     )
     wants = "".join(
-        SITE.format(name=name, want=", ".join(f"{k} = {n}" for k, n in plan.want.items()))
+        SITE_TEMPLATE.format(name=name, want=", ".join(f"{k} = {n}" for k, n in plan.want.items()))
         for name, plan in day.site.items()
     )
-    return GROUP.format(
-        name=NAME,
+    return GROUP_TEMPLATE.format(
+        name=GROUP_NAME,
         members=members,
         key=key_file,
         listen=listen,
--- a/otterquay/lab/cluster/wires.py
+++ b/otterquay/lab/cluster/wires.py
@@ -1,4 +1,4 @@
-"""What the wires show: the log that the group committed, who leads, who owns, who coordinates."""
+"""Derives the group's committed log, its leader, owners and coordinators from the messages on the wire."""
 
 from __future__ import annotations
 
@@ -16,25 +16,28 @@
 
 
 @dataclass(slots=True)
-class Wires:
-    """Reads each payload once it is passed on. `books` is a machine of our own, fed with what was committed."""
+class WireObserver:
+    """Decodes each delivered payload.
+
+    `books` is a separate replica of the group's state, to which the committed entries are applied in order.
+    """
 
     judge: Judge
     books: Duties
     now: Callable[[], float]
-    entries: dict[int, dict[int, bytes]] = field(default_factory=dict)  # index, term: data
-    terms: dict[int, int] = field(default_factory=dict)  # index: term under which it was committed
-    done: int = 0
+    entries: dict[int, dict[int, bytes]] = field(default_factory=dict)  # data by index and term
+    committed_terms: dict[int, int] = field(default_factory=dict)  # by index: term of the committed entry
+    applied_index: int = 0
     leader: int = -1
     term: int = 0
     coordinators: dict[str, int] = field(default_factory=dict)
     counts: Counter[str] = field(default_factory=Counter)
     hooks: dict[str, list[Callable[[int], None]]] = field(default_factory=dict)
-    unowned: dict[str, list[float]] = field(default_factory=dict)
-    free_since: dict[str, float] = field(default_factory=dict)
+    unowned_s: dict[str, list[float]] = field(default_factory=dict)
+    unowned_since: dict[str, float] = field(default_factory=dict)
 
     def payload_delivered(self, sender: int, to: int, payload: bytes) -> None:
-        """A payload reached its receiver's socket."""
+        """Handle a payload that reached its receiver's socket."""
         try:
             message = words.decode(payload)
         except ValueError:
@@ -49,65 +52,71 @@
             case dm.Propose():
                 match message.proposal.command:
                     case cm.Claim():
-                        self._fire("claim", sender)
+                        self._run_hooks("claim", sender)
                     case cm.Handover():
-                        self._fire("handover", sender)
+                        self._run_hooks("handover", sender)
             case sm.Lead():
                 self.coordinators[self.judge.sites[sender]] = sender
-                self._fire("lead", sender)
+                self._run_hooks("lead", sender)
 
-    def _fire(self, what: str, agent: int) -> None:
-        for hook in self.hooks.pop(what, []):
+    def _run_hooks(self, event: str, agent: int) -> None:
+        for hook in self.hooks.pop(event, []):
             hook(agent)
 
     def yard(self, agent: int) -> None:
-        """The yard started something for an agent."""
-        self._fire("yard_order", agent)
+        """Run the hooks waiting for the yard to start servers for an agent."""
+        self._run_hooks("yard_order", agent)
 
-    def _append(self, sender: int, m: gm.Append) -> None:
-        if m.term >= self.term:
-            self.term, self.leader = m.term, sender
-        for i, entry in enumerate(m.entries, m.before + 1):
-            known = self.entries.setdefault(i, {})
+    def _append(self, sender: int, append: gm.Append) -> None:
+        if append.term >= self.term:
+            self.term, self.leader = append.term, sender
+        for index, entry in enumerate(append.entries, append.before + 1):
+            known = self.entries.setdefault(index, {})
             if entry.term not in known and entry.data:
-                self._written(entry.data)
+                self._entry_replicated(entry.data)
             known[entry.term] = entry.data
-            if i <= m.commit:
-                self._commit(i, entry.term)
-        if m.before and m.before <= m.commit:
-            self._commit(m.before, m.before_term)
+            if index <= append.commit:
+                self._note_commit(index, entry.term)
+        if append.before and append.before <= append.commit:
+            self._note_commit(append.before, append.before_term)
         self._apply()
 
-    def _written(self, data: bytes) -> None:
-        """An entry is on its way to the other members: an order is written down before its owner may send it."""
+    def _entry_replicated(self, data: bytes) -> None:
+        """Run the hooks waiting for an order to be replicated.
+
+        This is the earliest sign of an order: its owner may send it to the yard only after it is committed.
+        """
         proposal = cm.decode(data)
         if isinstance(proposal.command, cm.Order):
-            self._fire("order", proposal.agent)
+            self._run_hooks("order", proposal.agent)
 
-    def _commit(self, index: int, term: int) -> None:
-        if self.terms.setdefault(index, term) != term:
-            self.judge.add_violation("state_differs", f"entry {index} of terms {self.terms[index]} and {term}")
+    def _note_commit(self, index: int, term: int) -> None:
+        if self.committed_terms.setdefault(index, term) != term:
+            self.judge.add_violation(
+                "state_differs", f"entry {index} of terms {self.committed_terms[index]} and {term}"
+            )
 
     def _apply(self) -> None:
-        # an entry committed under a term settles all before it that were sent in the same log
+        # A committed entry implies that the entries before it in the same log are committed too. Where only one
+        # candidate for an index has a term not above that of the nearest committed entry, it is that entry.
         while True:
-            index = self.done + 1
-            term = self.terms.get(index)
+            index = self.applied_index + 1
+            term = self.committed_terms.get(index)
             known = self.entries.get(index, {})
-            if term is None and known and any(t > self.done for t in self.terms):
-                nearest = min(t for t in self.terms if t > self.done)
-                fitting = [t for t in known if t <= self.terms[nearest]]
-                if len(fitting) == 1:
-                    term = fitting[0]
+            if term is None and known and any(t > self.applied_index for t in self.committed_terms):
+                nearest = min(t for t in self.committed_terms if t > self.applied_index)
+                candidates = [t for t in known if t <= self.committed_terms[nearest]]
+                if len(candidates) == 1:
+                    term = candidates[0]
             if term is None or term not in known:
                 return
             data = known[term]
             result = self.books.apply(index, data) if data else None
             self.judge.entry_applied(self.now(), index, data, -1, result)
-            self.done = index
+            self.applied_index = index
             self.entries.pop(index - 2000, None)
             for duty, state in self.books.whole.duties.items():
                 if state.owner is None:
-                    self.free_since.setdefault(duty, self.now())
-                elif duty in self.free_since:
-                    self.unowned.setdefault(duty, []).append(self.now() - self.free_since.pop(duty))
+                    self.unowned_since.setdefault(duty, self.now())
+                elif duty in self.unowned_since:
+                    self.unowned_s.setdefault(duty, []).append(self.now() - self.unowned_since.pop(duty))
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -1,4 +1,4 @@
-"""A cluster day: agents in processes of their own, relays between each two, a yard, traffic, troubles, a judge."""
+"""Runs a cluster day: agent processes with a relay for each direction between two, a yard, traffic and troubles."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from otterquay.lab.cluster import settings
 from otterquay.lab.cluster.day import ClusterDay, Trouble
 from otterquay.lab.cluster.faults.table import KINDS
-from otterquay.lab.cluster.host import Clustered
+from otterquay.lab.cluster.host import ClusterHost
 from otterquay.lab.cluster.relay import FrameRelay, LinkFaults
-from otterquay.lab.cluster.wires import Wires
+from otterquay.lab.cluster.wires import WireObserver
 from otterquay.lab.day import AgentsPlan, ClassPlan, Day, FleetPlan, TrafficPlan
 from otterquay.lab.fleetsim.judge import Judge
 from otterquay.lab.hosts import Host, Place
@@ -30,29 +30,29 @@
 from otterquay.standins.yard_ledger import Effect, YardLedger
 
 
-@dataclass(eq=False)  # without slots: its methods call those of the class before it
+@dataclass(eq=False)  # no slots: with them, super() without arguments fails
 class ClusterWorld(World):
-    """The stand-ins' world with the fleet's own work in the agents."""
+    """The lab's world with agent processes that also run the fleet's coordination."""
 
     cluster: ClusterDay = field(kw_only=True)
     folder: Path = field(kw_only=True)
     base: Path = field(kw_only=True)
     sites: dict[int, str] = field(default_factory=dict)
     members: list[int] = field(default_factory=list)
-    wires: dict[tuple[int, int], LinkFaults] = field(default_factory=dict)
-    frames: list[FrameRelay] = field(default_factory=list)
-    yards: dict[int, LinkState] = field(default_factory=dict)
+    link_faults: dict[tuple[int, int], LinkFaults] = field(default_factory=dict)
+    frame_relays: list[FrameRelay] = field(default_factory=list)
+    yard_link_states: dict[int, LinkState] = field(default_factory=dict)
     yard_links: list[Link] = field(default_factory=list)
     judge: Judge = field(init=False)
-    seen: Wires = field(init=False)
+    observer: WireObserver = field(init=False)
     yard: Yard = field(init=False)
-    healing: bool = False
-    stopped: dict[int, float] = field(default_factory=dict)  # agents that were made to stand still, since when
+    ending: bool = False
+    suspended_since: dict[int, float] = field(default_factory=dict)  # by suspended agent: when it was suspended
     rested: bool = False
     rest_s: float = 0.0
-    liars: list[Transport] = field(default_factory=list)
-    undone: list[Callable[[], None]] = field(default_factory=list)
-    numbers: dict[int, str] = field(default_factory=dict)
+    false_reporters: list[Transport] = field(default_factory=list)
+    pending_undos: list[Callable[[], None]] = field(default_factory=list)
+    addresses: dict[int, str] = field(default_factory=dict)
     key: bytes = b""
     _starting: dict[int, asyncio.Task[None]] = field(default_factory=dict)
 
@@ -65,112 +65,122 @@
                 if i < plan.members:
                     self.members.append(number)
         self.judge = Judge(self.cluster.bound, sites=self.sites)
-        self.seen = Wires(self.judge, Duties(sorted(set(self.sites.values())), self.cluster.bound), self._now)
-        book = YardLedger(random.Random(self.seed))
-        book.watch = self._effect
-        self.yard = Yard(book, random.Random(self.seed + 1))
-        at_yard = await self.yard.start()
+        self.observer = WireObserver(
+            self.judge, Duties(sorted(set(self.sites.values())), self.cluster.bound), self._now
+        )
+        ledger = YardLedger(random.Random(self.seed))
+        ledger.watch = self._effect
+        self.yard = Yard(ledger, random.Random(self.seed + 1))
+        yard_address = await self.yard.start()
         ports = self.claim(len(self.sites), TCP)
-        self.numbers = {n: f"127.0.0.1:{port}" for n, port in enumerate(ports)}
-        told: dict[tuple[int, int], str] = {}
+        self.addresses = {n: f"127.0.0.1:{port}" for n, port in enumerate(ports)}
+        relay_addresses: dict[tuple[int, int], str] = {}
         for a in self.sites:
             for b in self.sites:
                 if a != b:
-                    wire = self.wires[a, b] = LinkFaults()
-                    relay = FrameRelay(a, b, self.numbers[b], wire, rng, self.seen.payload_delivered)
-                    self.frames.append(relay)
-                    told[a, b] = await relay.start()
-        yards = {}
+                    faults = self.link_faults[a, b] = LinkFaults()
+                    relay = FrameRelay(a, b, self.addresses[b], faults, rng, self.observer.payload_delivered)
+                    self.frame_relays.append(relay)
+                    relay_addresses[a, b] = await relay.start()
+        yard_addresses = {}
         for a in self.sites:
-            self.yards[a] = LinkState()
-            link = Link(at_yard, self.yards[a])
+            self.yard_link_states[a] = LinkState()
+            link = Link(yard_address, self.yard_link_states[a])
             self.yard_links.append(link)
-            yards[a] = await link.start()
+            yard_addresses[a] = await link.start()
         self.key = secrets.token_bytes(32)
         key_file = self.folder / "group.key"
         key_file.write_text(self.key.hex())
         text = self.base.read_text(encoding="utf-8")
         for a in self.sites:
-            addresses = {b: told[a, b] for b in self.sites if a != b}
+            peer_addresses = {b: relay_addresses[a, b] for b in self.sites if a != b}
             (self.folder / f"agent-{a}.hcl").write_text(
                 text
                 + settings.blocks(
-                    self.cluster, self.members, str(key_file), self.numbers[a], addresses, self.sites, yards[a]
+                    self.cluster,
+                    self.members,
+                    str(key_file),
+                    self.addresses[a],
+                    peer_addresses,
+                    self.sites,
+                    yard_addresses[a],
                 )
             )
         await super()._start()
-        self._tasks.add(asyncio.get_running_loop().create_task(self._ends(rng)))
+        self._tasks.add(asyncio.get_running_loop().create_task(self._end_servers(rng)))
 
     def place(self, place: Place) -> Host:
-        """The process for a place."""
-        return Clustered(self.folder / f"agent-{place.number}.hcl", place, self.folder / "group.key", self.folder)
+        """Create the host of an agent's process."""
+        return ClusterHost(self.folder / f"agent-{place.number}.hcl", place, self.folder / "group.key", self.folder)
 
     def _effect(self, effect: Effect) -> None:
         self.judge.yard_effect(effect)
-        self.judge.check_running(effect.at, self.yard.book)
+        self.judge.check_running(effect.at, self.yard.ledger)
         if effect.what == "started":
-            asyncio.get_running_loop().call_soon(self.seen.yard, effect.agent)
+            asyncio.get_running_loop().call_soon(self.observer.yard, effect.agent)
 
-    async def _ends(self, rng: random.Random) -> None:
-        """Servers end by themselves, so that there is work for owners at all times."""
-        while not self.healing:
+    async def _end_servers(self, rng: random.Random) -> None:
+        """End servers at intervals, so that owners always have servers to order."""
+        while not self.ending:
             await asyncio.sleep(self.cluster.ends_every / 1e3)
             site = rng.choice(sorted(self.cluster.site))
             if kinds := sorted(self.cluster.site[site].want):
-                self.yard.book.end(site, rng.choice(kinds), 1)
+                self.yard.ledger.end(site, rng.choice(kinds), 1)
 
     async def _traffic(self) -> None:
-        waiting = [asyncio.get_running_loop().create_task(self._trouble(one)) for one in self.cluster.trouble]
+        troubles = [
+            asyncio.get_running_loop().create_task(self._trouble(trouble)) for trouble in self.cluster.trouble
+        ]
         await self.clients.offer(self._rate, self.day.duration / 1e3)
-        self.healing = True
-        for task in waiting:
+        self.ending = True
+        for task in troubles:
             task.cancel()
-        for ended in await asyncio.gather(*waiting, return_exceptions=True):
-            if isinstance(ended, Exception):
-                raise ended  # a trouble that failed: the day was not played
-        await self._heal()
-        begun = self._now()
-        calm = 0.0
-        while self._now() - begun < self.cluster.rest / 1e3 and not self.rested:
+        for outcome in await asyncio.gather(*troubles, return_exceptions=True):
+            if isinstance(outcome, Exception):
+                raise outcome  # a trouble that failed invalidates the day
+        await self._end_troubles()
+        ended_at = self._now()
+        settled_s = 0.0
+        while self._now() - ended_at < self.cluster.rest / 1e3 and not self.rested:
             await asyncio.sleep(0.1)
-            calm = calm + 0.1 if self._rests() else 0.0
-            self.rested = calm >= 2.0
-        self.rest_s = self._now() - begun
-        self.judge.check_end(self.yard.book, self.seen.books)
+            settled_s = settled_s + 0.1 if self._is_settled() else 0.0
+            self.rested = settled_s >= 2.0
+        self.rest_s = self._now() - ended_at
+        self.judge.check_end(self.yard.ledger, self.observer.books)
 
-    def _rests(self) -> bool:
-        books = self.seen.books
-        whole = books.whole
-        if whole.orders or any(d.owner is None for d in whole.duties.values()):
+    def _is_settled(self) -> bool:
+        books = self.observer.books
+        group = books.whole
+        if group.orders or any(d.owner is None for d in group.duties.values()):
             return False
         if self.cluster.owes and not all(
-            (post := whole.spread.posts.get(name)) and post.owner is not None and post.told
+            (post := group.spread.posts.get(name)) and post.owner is not None and post.told
             for site, plan in self.cluster.site.items()
             for name in posts_of([site], {site: plan.want})
         ):
             return False
-        for site, book in self.yard.book.sites.items():
-            if any(book.first[o].term and o not in books.closed for o in book.orders):
+        for site, ledger in self.yard.ledger.sites.items():
+            if any(ledger.first[order].term and order not in books.closed for order in ledger.orders):
                 return False
             wanted = self.cluster.site[site].want
-            if any(book.alive.get(k, 0) < n for k, n in wanted.items()) and books.taken() < whole.bound:
+            if any(ledger.alive.get(k, 0) < n for k, n in wanted.items()) and books.taken() < group.bound:
                 return False
         return True
 
-    async def _heal(self) -> None:
-        for undo in self.undone:
+    async def _end_troubles(self) -> None:
+        for undo in self.pending_undos:
             undo()
-        for liar in self.liars:
-            liar.close()
-        self.yard.lose = self.yard.lose_asked = self.yard.late_s = self.yard.book.half = 0.0
-        for number in list(self.stopped):
-            self.go_on(number)
-        await asyncio.gather(*(self.again(number) for number in self.sites))
+        for reporter in self.false_reporters:
+            reporter.close()
+        self.yard.lose = self.yard.lose_asked = self.yard.late_s = self.yard.ledger.half = 0.0
+        for number in list(self.suspended_since):
+            self.resume_agent(number)
+        await asyncio.gather(*(self.restart_agent(number) for number in self.sites))
 
-    async def again(self, number: int) -> None:
-        """Start an agent that is down. All who ask meanwhile wait for one start, and none of them breaks it off.
+    async def restart_agent(self, number: int) -> None:
+        """Start an agent that is down. Concurrent callers wait for the same start, and none of them can cancel it.
 
-        A trouble that is cancelled as its day ends would else leave a process that holds the agent's store.
+        Otherwise a trouble cancelled at the end of its day would leave a process that holds the agent's store.
         """
         if number in self.running:
             return
@@ -179,28 +189,28 @@
             start.add_done_callback(lambda _: self._starting.pop(number, None))
         await asyncio.shield(self._starting[number])
 
-    def go_on(self, number: int) -> None:
-        """SIGCONT, if it stands still."""
-        if (since := self.stopped.pop(number, None)) is not None:
+    def resume_agent(self, number: int) -> None:
+        """Send SIGCONT to an agent if it is suspended."""
+        if (since := self.suspended_since.pop(number, None)) is not None:
             self.agents[number].pause(False)
             self.tape.add(Stood(self.now(), number, since))
 
     def now(self) -> float:
-        """Seconds of the loop's clock."""
+        """Seconds on the event loop's clock."""
         return self._now()
 
-    def host(self, number: int) -> Clustered:
-        """The process of an agent."""
+    def host(self, number: int) -> ClusterHost:
+        """The host of an agent's process."""
         host = self.agents[number]
-        assert isinstance(host, Clustered)
+        assert isinstance(host, ClusterHost)
         return host
 
     async def _close(self) -> None:
         await asyncio.gather(*self._starting.values(), return_exceptions=True)
-        for number in list(self.stopped):
-            self.go_on(number)
+        for number in list(self.suspended_since):
+            self.resume_agent(number)
         await super()._close()
-        for relay in self.frames:
+        for relay in self.frame_relays:
             relay.close()
         for link in self.yard_links:
             link.close()
@@ -208,24 +218,24 @@
             self.yard.close()
 
     # --- troubles ---
-    async def _trouble(self, one: Trouble) -> None:
-        await asyncio.sleep(one.at / 1e3)
+    async def _trouble(self, trouble: Trouble) -> None:
+        await asyncio.sleep(trouble.at / 1e3)
         agent: int | None = None
-        if one.when:
+        if trouble.when:
             crossing: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-            self.seen.hooks.setdefault(one.when, []).append(
+            self.observer.hooks.setdefault(trouble.when, []).append(
                 lambda a: None if crossing.done() else crossing.set_result(a)
             )
             agent = await crossing
-            await asyncio.sleep(one.after / 1e3)
-        if self.healing:
+            await asyncio.sleep(trouble.after / 1e3)
+        if self.ending:
             return
-        self.say(f"trouble: {one.kind} {one.who or one.site}".rstrip())
-        done = KINDS[one.kind](self, one, self._who(one, agent))
+        self.say(f"trouble: {trouble.kind} {trouble.who or trouble.site}".rstrip())
+        done = KINDS[trouble.kind](self, trouble, self._agent_of(trouble, agent))
         if asyncio.iscoroutine(done):
             await done
         elif callable(done):
-            self._undo_later(one.lasts / 1e3, done)
+            self._undo_later(trouble.lasts / 1e3, done)
 
     def _undo_later(self, lasts: float, undo: Callable[[], None]) -> None:
         left = [undo]
@@ -234,26 +244,26 @@
             if left:
                 left.pop()()
 
-        self.undone.append(once)
+        self.pending_undos.append(once)
         asyncio.get_running_loop().call_later(lasts, once)
 
-    def _who(self, one: Trouble, crossing: int | None) -> int:
-        kind, _, rest = one.who.partition(":")
+    def _agent_of(self, trouble: Trouble, crossing: int | None) -> int:
+        kind, _, rest = trouble.who.partition(":")
         if kind.isdigit():
             return int(kind)
         if kind == "leader":
-            return max(self.seen.leader, 0)
+            return max(self.observer.leader, 0)
         if kind == "coordinator":
-            return self.seen.coordinators.get(rest, min(a for a, s in self.sites.items() if s == rest))
+            return self.observer.coordinators.get(rest, min(a for a, s in self.sites.items() if s == rest))
         if kind == "owner":
             duty = CAPACITY if rest in ("", CAPACITY) else duty_of(rest)
-            owner = self.seen.books.whole.duties[duty].owner
+            owner = self.observer.books.whole.duties[duty].owner
             return owner if owner is not None else 0
         return crossing if crossing is not None else 0
 
 
 def day_of(cluster: ClusterDay) -> Day:
-    """The traffic that goes on meanwhile."""
+    """The lab day whose traffic runs during a cluster day."""
     zones = [name for name, plan in cluster.site.items() for _ in range(plan.agents)]
     classes = {"lobby-read": 0.5, "queue-join": 0.3, "race-entry": 0.2}
     return Day(
--- a/otterquay/standins/yard.py
+++ b/otterquay/standins/yard.py
@@ -41,7 +41,7 @@
 class Yard:
     """`lose` and `late_s` act on answers, `lose_asked` on requests: drawn for each."""
 
-    book: YardLedger
+    ledger: YardLedger
     rng: random.Random
     lose: float = 0.0
     lose_asked: float = 0.0
@@ -64,7 +64,7 @@
         if self.rng.random() < self.lose_asked:
             return
         asked = read_request(http)
-        answer = Answer(400) if asked is None else self.book.answer(loop.time(), *asked)
+        answer = Answer(400) if asked is None else self.ledger.answer(loop.time(), *asked)
         if self.rng.random() < self.lose:
             return
         if self.late_s:
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -81,15 +81,15 @@
 async def _one_start_for_all() -> None:
     host = Slow()
     world = a_world([host])
-    trouble = asyncio.create_task(world.again(0))
+    trouble = asyncio.create_task(world.restart_agent(0))
     await host.asked.wait()
-    heal = asyncio.create_task(world.again(0))  # the day ends while the trouble's start is under way
+    heal = asyncio.create_task(world.restart_agent(0))  # the day ends while the trouble's start is under way
     trouble.cancel()
     await asyncio.gather(trouble, return_exceptions=True)
     host.go.set()
     await heal
     assert trouble.cancelled() and host.starts == 1 and world.running == {0: "somewhere"}
-    await world.again(0)
+    await world.restart_agent(0)
     assert host.starts == 1
 
 
