--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -69,7 +69,7 @@
             self.judge, Duties(sorted(set(self.sites.values())), self.cluster.bound), self._now
         )
         ledger = YardLedger(random.Random(self.seed))
-        ledger.watch = self._effect
+        ledger.on_effect = self._effect
         self.yard = Yard(ledger, random.Random(self.seed + 1))
         yard_address = await self.yard.start()
         ports = self.claim(len(self.sites), TCP)
--- a/otterquay/lab/fleetsim/mutants.py
+++ b/otterquay/lab/fleetsim/mutants.py
@@ -45,7 +45,7 @@
 
 
 def _no_deduplication(sim: Sim) -> None:
-    sim.yard.remembers = False
+    sim.yard.deduplicates = False
 
 
 def _no_sync(sim: Sim) -> None:
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -90,7 +90,7 @@
         self.links = Links()
         self.yard = YardLedger(random.Random(seed + 1))
         self.judge = Judge(plan.bound, sites=plan.sites)
-        self.yard.watch = self.judge.yard_effect
+        self.yard.on_effect = self.judge.yard_effect
         self.hosts = {a: Host(a) for a in plan.sites}
         self.messages: Counter[str] = Counter()
         self.syncs = True  # False in a mutant whose disk confirms writes before they are durable
--- a/otterquay/standins/__init__.py
+++ b/otterquay/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for all that an agent meets: appliances, fleet list, release desk, clients, faulty links."""
+"""Stand-ins for the systems around agents: appliances, fleet list, release desk, yard, clients and faulty links."""
--- a/otterquay/standins/appliance.py
+++ b/otterquay/standins/appliance.py
@@ -1,4 +1,4 @@
-"""An appliance: cores, a queue, a cold start that falls over, drains, a connection limit, flaws of its build."""
+"""An appliance: cores, a queue, a connection limit, drains, flaws of its build, overload crashes while cold."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Flaw:
-    """What is wrong with a build. `share` of requests fail or answer wrong, `factor` is the work's multiple."""
+    """The flaw of a build: `share` of its requests fail or are answered wrong; `factor` multiplies the work."""
 
     kind: Literal["errors", "class", "slow", "load", "late", "wrong", "shared"]
     share: float = 0.0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSpec:
-    """What a machine can do. `start_capacity` is the part at its start, whole after `cold_s`."""
+    """The capacity of a machine. A cold one starts with the share `start_capacity`, and is warm after `cold_s`."""
 
     cores: int = 2
     speed: float = 1.0
@@ -49,19 +49,19 @@
 
 
 class DedupTable:
-    """Which keyed operations a group of appliances has met, for how long it remembers them."""
+    """Recognizes repeated keyed operations at a group of appliances, within a time window."""
 
     def __init__(self, window_s: float) -> None:
         self._window = window_s
-        self._met: OrderedDict[str, float] = OrderedDict()
+        self._first_seen: OrderedDict[str, float] = OrderedDict()
 
-    def repeat(self, key: str, now: float) -> bool:
-        """True when the key was met within the window; it is remembered from its first meeting."""
-        while self._met and next(iter(self._met.values())) < now - self._window:
-            self._met.popitem(last=False)
-        if key in self._met:
+    def is_repeat(self, key: str, now: float) -> bool:
+        """Whether the key was seen within the window, which counts from its first use."""
+        while self._first_seen and next(iter(self._first_seen.values())) < now - self._window:
+            self._first_seen.popitem(last=False)
+        if key in self._first_seen:
             return True
-        self._met[key] = now
+        self._first_seen[key] = now
         return False
 
 
@@ -75,8 +75,8 @@
     timer: asyncio.TimerHandle | None = None
 
 
-def _word(body: bytes) -> str:
-    """The first word of a chat command: what it joins or enters, by which a matchmaker books it."""
+def _first_word(body: bytes) -> str:
+    """The first word of a chat command: what it joins or enters, which identifies the operation."""
     try:
         words = msgspec.json.decode(body)["words"]
         return str(words[0])
@@ -86,19 +86,19 @@
 
 @dataclass(slots=True, eq=False)
 class Appliance:
-    """One appliance's process: from its start to its end on one address."""
+    """One process of an appliance, on one address."""
 
     server: int
     incarnation: int
     build: int
     zone: str
-    shape: MachineSpec
+    spec: MachineSpec
     tape: Tape
     rng: random.Random
-    book: DedupTable
+    dedup: DedupTable
     flaw: Flaw | None = None
     cold: bool = False
-    slowdown: Callable[[], float] = lambda: 1.0  # slowness from outside, such as a shared dependency
+    slowdown: Callable[[], float] = lambda: 1.0  # factor of external slowness, such as a shared dependency
     slow: float = 1.0
     fail_share: float = 0.0
     silent: bool = False
@@ -111,9 +111,9 @@
     running: set[_Job] = field(default_factory=set)
     waiting: deque[_Job] = field(default_factory=deque)
     started: float = 0.0
-    _work: deque[tuple[float, float]] = field(default_factory=deque)
+    _recent_work: deque[tuple[float, float]] = field(default_factory=deque)
     _paused: bool = False
-    _done: int = 0
+    _finished: int = 0
 
     def __post_init__(self) -> None:
         self.listener = Listener(self._request)
@@ -122,12 +122,12 @@
         """Listen; returns HOST:PORT."""
         self.started = asyncio.get_running_loop().time()
         address = await self.listener.start(host, port)
-        whole = self.shape.cores * self.shape.speed
-        self.tape.add(Started(self.started, self.server, self.incarnation, self.build, whole, self.cold))
+        capacity = self.spec.cores * self.spec.speed
+        self.tape.add(Started(self.started, self.server, self.incarnation, self.build, capacity, self.cold))
         return address
 
     def stop(self, graceful: bool = False) -> None:
-        """End the process; without grace all connections are reset."""
+        """End the process; unless `graceful`, all connections are reset."""
         self.down = True
         for job in self.running:
             if job.timer:
@@ -135,7 +135,7 @@
         self.listener.close(abort=not graceful)
 
     def pause(self, seconds: float) -> None:
-        """Stand still: nothing starts or ends."""
+        """Suspend the process: requests neither start nor end."""
         self._paused = True
         asyncio.get_running_loop().call_later(seconds, self._resume)
 
@@ -143,22 +143,22 @@
         self._paused = False
         for job in [job for job in self.running if job.timer is None]:
             self._finish(job)
-        self._fill()
+        self._start_jobs()
 
     def capacity(self, now: float) -> float:
-        """Core seconds a second that it can do at `now`, on the clock of the loop."""
-        whole, least = self.shape.cores * self.shape.speed, self.shape.start_capacity
-        part = min(1.0, (now - self.started) / self.shape.cold_s) if self.cold else 1.0
-        return whole * (least + (1 - least) * part)
-
-    def _falls(self, now: float, work: float) -> bool:
-        self._work.append((now, work))
-        while self._work[0][0] < now - self.shape.fall_s:
-            self._work.popleft()
-        if not self.cold or now - self.started > self.shape.cold_s + self.shape.fall_s:
+        """The capacity in core seconds per second at `now`, on the event loop's clock."""
+        full, start_share = self.spec.cores * self.spec.speed, self.spec.start_capacity
+        part = min(1.0, (now - self.started) / self.spec.cold_s) if self.cold else 1.0
+        return full * (start_share + (1 - start_share) * part)
+
+    def _is_overload_crash(self, now: float, work: float) -> bool:
+        self._recent_work.append((now, work))
+        while self._recent_work[0][0] < now - self.spec.fall_s:
+            self._recent_work.popleft()
+        if not self.cold or now - self.started > self.spec.cold_s + self.spec.fall_s:
             return False
-        most = self.shape.fall_multiple * self.capacity(now) * self.shape.fall_s
-        return sum(w for _, w in self._work) > most
+        max_work = self.spec.fall_multiple * self.capacity(now) * self.spec.fall_s
+        return sum(w for _, w in self._recent_work) > max_work
 
     # --- requests ---
     def _request(self, peer: Peer, request: HttpRequest) -> None:
@@ -169,85 +169,85 @@
         tag = request.headers.get(b"otterquay-attempt", b"").decode()
         work = float(request.headers.get(WORK, b"10")) / 1e3
         self.tape.add(Arrived(now, id, tag, self.server, self.incarnation, self.build, self.zone, work))
-        if self._falls(now, work + (self.shape.handshake_s if peer.served == 0 else 0.0)):
-            return self.stop()  # it stays down
+        if self._is_overload_crash(now, work + (self.spec.handshake_s if peer.served == 0 else 0.0)):
+            return self.stop()  # overload crash; the process is not restarted
         if self.silent:
             return
         if self.garbage:
             return peer.send(b"\x16\x03\x01 this is no answer\r\n\r\n")
-        crowded = len(self.listener.peers) > self.shape.max_connections
-        if self.draining or crowded or len(self.waiting) >= self.shape.queue:
+        crowded = len(self.listener.peers) > self.spec.max_connections
+        if self.draining or crowded or len(self.waiting) >= self.spec.queue:
             self.tape.add(Replied(now, id, tag, self.server, "not_seen"))
             headers = [NOT_SEEN_HEADER, *self._headers(request)]
             return peer.send(write_response(503, headers, b"not seen\n", keep_alive=not crowded))
-        job = _Job(peer, request, id, tag, work + (self.shape.handshake_s if peer.served == 0 else 0.0))
-        peer.lost = lambda: self._left(job)
+        job = _Job(peer, request, id, tag, work + (self.spec.handshake_s if peer.served == 0 else 0.0))
+        peer.lost = lambda: self._peer_closed(job)
         self.waiting.append(job)
-        self._fill()
+        self._start_jobs()
 
-    def _left(self, job: _Job) -> None:
-        """The agent closed: what waits is dropped, work that runs stops."""
+    def _peer_closed(self, job: _Job) -> None:
+        """Handle an agent that closed its connection: drop the job if it waits, stop it if it runs."""
         if job in self.waiting:
             self.waiting.remove(job)
         elif job in self.running and job.timer:
             job.timer.cancel()
             self.running.discard(job)
-            self._fill()
+            self._start_jobs()
 
-    def _fill(self) -> None:
+    def _start_jobs(self) -> None:
         loop = asyncio.get_running_loop()
-        while self.waiting and len(self.running) < self.shape.cores and not self._paused and not self.down:
+        while self.waiting and len(self.running) < self.spec.cores and not self._paused and not self.down:
             job = self.waiting.popleft()
             self.running.add(job)
-            rate = self.capacity(loop.time()) / self.shape.cores
-            duration = job.work_s / rate * self.slow * self.slowdown() * self._factor(loop.time())
-            self._effect(job)
-            job.timer = loop.call_later(duration, self._due, job)
+            rate = self.capacity(loop.time()) / self.spec.cores
+            duration = job.work_s / rate * self.slow * self.slowdown() * self._flaw_factor(loop.time())
+            self._record_effect(job)
+            job.timer = loop.call_later(duration, self._job_due, job)
 
-    def _factor(self, now: float) -> float:
+    def _flaw_factor(self, now: float) -> float:
         flaw = self.flaw
         if flaw is None:
             return 1.0
         late = flaw.kind == "late" and now - self.started >= flaw.after_s
-        loaded = flaw.kind == "load" and len(self.running) >= flaw.busy * self.shape.cores
+        loaded = flaw.kind == "load" and len(self.running) >= flaw.busy * self.spec.cores
         return flaw.factor if flaw.kind == "slow" or late or loaded else 1.0
 
-    def _effect(self, job: _Job) -> None:
+    def _record_effect(self, job: _Job) -> None:
         headers = job.request.headers
         key = headers.get(b"idempotency-key", b"").decode()
-        op = headers.get(OPERATION, b"").decode() or _word(job.request.body) or job.id
+        op = headers.get(OPERATION, b"").decode() or _first_word(job.request.body) or job.id
         now = asyncio.get_running_loop().time()
-        self.tape.add(Ran(now, job.id, op, self.server, bool(key) and self.book.repeat(key, now)))
+        self.tape.add(Ran(now, job.id, op, self.server, bool(key) and self.dedup.is_repeat(key, now)))
 
-    def _due(self, job: _Job) -> None:
+    def _job_due(self, job: _Job) -> None:
         job.timer = None
         if not self._paused:
             self._finish(job)
-            self._fill()
+            self._start_jobs()
 
-    def _bad(self, cls: str) -> bool:
-        """Whether the build fails this request, or answers it wrong."""
+    def _is_flawed(self, cls: str) -> bool:
+        """Whether the build's flaw makes it fail this request, or answer it wrong."""
         flaw, now = self.flaw, asyncio.get_running_loop().time()
         if flaw is None:
             return False
-        fits = {
+        applies = {
             "errors": True,
             "wrong": True,
             "class": cls == flaw.cls,
             "slow": False,
             "shared": False,
-            "load": len(self.running) >= flaw.busy * self.shape.cores,
+            "load": len(self.running) >= flaw.busy * self.spec.cores,
             "late": now - self.started >= flaw.after_s,
         }[flaw.kind]
-        return fits and self.rng.random() < flaw.share
+        return applies and self.rng.random() < flaw.share
 
     def _finish(self, job: _Job) -> None:
         self.running.discard(job)
-        self._done += 1
+        self._finished += 1
         if self.down:
             return
         job.peer.lost = None
-        bad = self._bad(job.request.headers.get(b"otterquay-class", b"").decode())
+        bad = self._is_flawed(job.request.headers.get(b"otterquay-class", b"").decode())
         wrong = bad and self.flaw is not None and self.flaw.kind == "wrong"
         failed = (bad and not wrong) or self.rng.random() < self.fail_share
         status = 500 if failed else 200
@@ -262,10 +262,10 @@
 
     def _headers(self, request: HttpRequest) -> list[tuple[bytes, bytes]]:
         load = {
-            LoadField.UTIL: min(1.0, len(self.running) / self.shape.cores),
+            LoadField.UTIL: min(1.0, len(self.running) / self.spec.cores),
             LoadField.INFLIGHT: float(len(self.running) + len(self.waiting)),
             LoadField.QUEUE: float(len(self.waiting)),
-            LoadField.QPS: self._done / max(asyncio.get_running_loop().time() - self.started, 1.0),
+            LoadField.QPS: self._finished / max(asyncio.get_running_loop().time() - self.started, 1.0),
         }
         tag = request.headers.get(b"otterquay-attempt", b"")
         return [(orca.HEADER, orca.encode(load)), (b"otterquay-attempt", tag)]
--- a/otterquay/standins/clients.py
+++ b/otterquay/standins/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the agents: open loop, uneven over agents, retrying by the rules, giving up in time."""
+"""Clients of the agents: an open-loop load, weighted by agent, with retries by the rules and deadlines."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Habit:
-    """One class as clients use it; times are seconds, `work_ms` a range."""
+    """How clients use one class; times are in seconds, `work_ms` is a range."""
 
     cls: str
     effect: str
@@ -28,8 +28,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Line:
-    """A kept-alive connection to an agent."""
+class _Connection:
+    """A persistent connection to an agent."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class Clients:
-    """All clients of a run. `agents` gives the address of each agent that runs, by number."""
+    """All clients of a run. `agents` holds the addresses of the running agents by number."""
 
     tape: Tape
     rng: random.Random
@@ -48,14 +48,14 @@
     weights: Sequence[float]
     retries: int = 2
     backoff_s: float = 0.15
-    try_share: tuple[float, float] = (0.4, 1.0)
-    lines: dict[str, list[_Line]] = field(default_factory=dict)
+    attempt_share: tuple[float, float] = (0.4, 1.0)
+    idle_connections: dict[str, list[_Connection]] = field(default_factory=dict)
     latencies: Callable[[str, float], None] = lambda cls, seconds: None
     _ops: int = 0
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def offer(self, rate: Callable[[float], float], seconds: float) -> None:
-        """Requests at `rate(t)` a second, drawn as a Poisson process ahead of the answers, then wait for all."""
+        """Start operations as a Poisson process of `rate(t)` per second, independent of answers; wait for all."""
         loop = asyncio.get_running_loop()
         start = due = loop.time()
         while True:
@@ -70,58 +70,68 @@
         self.close()
 
     def close(self) -> None:
-        """Close all lines."""
-        for lines in self.lines.values():
-            for line in lines:
-                line.writer.close()
-        self.lines.clear()
+        """Close all idle connections."""
+        for connections in self.idle_connections.values():
+            for connection in connections:
+                connection.writer.close()
+        self.idle_connections.clear()
 
     def spawn(self, due: float) -> None:
-        """One operation, at an agent drawn by weight among all, running or not."""
+        """Start one operation at an agent drawn by weight among all agents, running or not."""
         habit = self.rng.choices(self.habits, [h.share for h in self.habits])[0]
         agent = self.rng.choices(range(len(self.weights)), self.weights)[0]
         tenant = self.rng.choices([n for n, _ in self.tenants], [s for _, s in self.tenants])[0]
         self._ops += 1
-        task = asyncio.get_running_loop().create_task(self.operate(f"op{self._ops}", habit, agent, tenant, due))
+        task = asyncio.get_running_loop().create_task(
+            self.run_operation(f"op{self._ops}", habit, agent, tenant, due)
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def operate(self, op: str, habit: Habit, agent: int, tenant: str, first: float) -> None:
-        """One operation with its tries; each try has an id of its own."""
+    async def run_operation(self, op: str, habit: Habit, agent: int, tenant: str, first: float) -> None:
+        """Run one operation; each of its attempts has its own id."""
         loop = asyncio.get_running_loop()
         work = self.rng.uniform(*habit.work_ms)
-        patience = self.rng.uniform(*self.try_share) * habit.deadline_s
+        attempt_timeout_s = self.rng.uniform(*self.attempt_share) * habit.deadline_s
         for attempt in range(self.retries + 1):
-            left = first + habit.deadline_s - loop.time()
-            if left <= 0.05:
+            remaining_s = first + habit.deadline_s - loop.time()
+            if remaining_s <= 0.05:
                 break
-            kind = await self.ask(
-                f"{op}.{attempt}", op, habit, agent, tenant, min(left, patience), work, first, attempt > 0
+            kind = await self.send_attempt(
+                f"{op}.{attempt}",
+                op,
+                habit,
+                agent,
+                tenant,
+                min(remaining_s, attempt_timeout_s),
+                work,
+                first,
+                attempt > 0,
             )
             if kind == "served":
                 self.latencies(habit.cls, loop.time() - first)
                 return
-            harmless = (
+            may_retry = (
                 kind in ("refused", "unreachable")
                 or habit.effect == "safe"
                 or (
                     habit.effect == "keyed" and habit.scope == "all" and loop.time() - first < habit.repeat_window_s
                 )
             )
-            if not harmless:
+            if not may_retry:
                 return
             await asyncio.sleep(self.backoff_s * self.rng.uniform(0.5, 1.5))
 
-    async def _line(self, address: str) -> _Line:
-        free = self.lines.setdefault(address, [])
-        while free:
-            line = free.pop()
-            if not line.reader.at_eof() and not line.writer.is_closing():
-                return line
+    async def _connect(self, address: str) -> _Connection:
+        idle = self.idle_connections.setdefault(address, [])
+        while idle:
+            connection = idle.pop()
+            if not connection.reader.at_eof() and not connection.writer.is_closing():
+                return connection
         reader, writer = await asyncio.open_connection(*split_address(address))
-        return _Line(reader, writer, ResponseParser())
+        return _Connection(reader, writer, ResponseParser())
 
-    async def ask(
+    async def send_attempt(
         self,
         id: str,
         op: str,
@@ -131,15 +141,15 @@
         budget: float,
         work_ms: float,
         first: float,
-        again: bool,
+        is_retry: bool,
     ) -> str:
-        """One try: "served", "refused", "failed", "left", "lost" or "unreachable"."""
+        """Send one attempt; returns "served", "refused", "failed", "left", "lost" or "unreachable"."""
         loop = asyncio.get_running_loop()
         address = self.agents.get(agent)
         if address is None:
             return "unreachable"
         try:
-            line = await self._line(address)
+            connection = await self._connect(address)
         except OSError:
             return "unreachable"
         headers = [
@@ -155,20 +165,20 @@
             headers.append((front.IDEMPOTENCY_KEY_HEADER, key.encode()))
         if tenant:
             headers.append((front.TENANT_HEADER, tenant.encode()))
-        if again:
+        if is_retry:
             headers.append((front.RETRY_HEADER, b"1"))
         now = loop.time()
         self.tape.add(Asked(now, id, op, agent, habit.cls, tenant, key, int(budget * 1e3) / 1e3, first))
-        line.writer.write(write_request(b"POST", b"/", headers))
+        connection.writer.write(write_request(b"POST", b"/", headers))
         try:
-            async with asyncio.timeout_at(now + budget + 1.0):  # a second past its time, to see what comes late
-                answer = await self._answer(line)
+            async with asyncio.timeout_at(now + budget + 1.0):  # a second beyond the budget, to record late answers
+                answer = await self._read_answer(connection)
         except TimeoutError:
             self.tape.add(Left(loop.time(), id))
-            line.writer.transport.abort()
+            connection.writer.transport.abort()
             return "left"
         except (OSError, ProtocolError):
-            line.writer.close()
+            connection.writer.close()
             answer = None
         if answer is None:
             self.tape.add(Lost(loop.time(), id, True))
@@ -184,17 +194,17 @@
             )
         )
         if answer.keep_alive:
-            self.lines.setdefault(address, []).append(line)
+            self.idle_connections.setdefault(address, []).append(connection)
         else:
-            line.writer.close()
+            connection.writer.close()
         return kind or "failed"
 
-    async def _answer(self, line: _Line) -> HttpResponse | None:
-        while data := await line.reader.read(65536):
-            if answers := line.parser.feed(data):
-                if len(answers) > 1 or line.parser.started:
+    async def _read_answer(self, connection: _Connection) -> HttpResponse | None:
+        while data := await connection.reader.read(65536):
+            if answers := connection.parser.feed(data):
+                if len(answers) > 1 or connection.parser.started:
                     self.tape.add(Surplus(asyncio.get_running_loop().time(), "?"))
                 return answers[0]
-            if line.parser.failed:
-                raise line.parser.failed
-        return line.parser.eof()
+            if connection.parser.failed:
+                raise connection.parser.failed
+        return connection.parser.eof()
--- a/otterquay/standins/desk.py
+++ b/otterquay/standins/desk.py
@@ -1,4 +1,4 @@
-"""The release desk: offers builds in stages, counts votes, tells stage and cap; can stall and lose answers."""
+"""The release desk: offers builds in stages, counts votes, publishes stage and cap; can stall and lose answers."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(slots=True)
-class Standing:
-    """Where the newest build stands."""
+class BuildState:
+    """The state of the newest build."""
 
     build: int
     stage: int
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class Desk:
-    """The desk and its orders to the fleet."""
+    """The desk, which starts and drains servers of the fleet."""
 
     tape: Tape
     fleet: Fleet
@@ -41,7 +41,7 @@
     lag_s: float = 0.2
     start_s: float = 0.5
     source: EventSource = field(init=False)
-    standing: Standing = field(init=False)
+    current: BuildState = field(init=False)
     previous: int = 1
     votes: dict[int, tuple[int, int, str, float]] = field(default_factory=dict)
     stalled: bool = False
@@ -50,17 +50,17 @@
     _number: int = 0
     _running_since: float = math.inf
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    _moving: bool = False
+    _changing_phase: bool = False
 
     def __post_init__(self) -> None:
-        self.source = EventSource("desk-1", self._first, self._wrote, self._vote)
-        self.standing = Standing(1, 0, "released", 1.0, 0.0)
+        self.source = EventSource("desk-1", self._initial_events, self._record_written, self._vote)
+        self.current = BuildState(1, 0, "released", 1.0, 0.0)
 
     async def start(self) -> str:
-        """Listen, begin to tell the stage anew at the settings' interval; returns HOST:PORT."""
-        self.standing.since = asyncio.get_running_loop().time()
+        """Listen, and publish the stage at the interval of the settings; returns HOST:PORT."""
+        self.current.since = asyncio.get_running_loop().time()
         address = await self.source.start()
-        self._later(self._repeat())
+        self._spawn(self._repeat())
         return address
 
     def close(self) -> None:
@@ -69,8 +69,8 @@
             task.cancel()
         self.source.close()
 
-    def _later(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -79,68 +79,68 @@
             await asyncio.sleep(self.service.rollout.push / 1e3)
             self._publish()
 
-    # --- telling ---
+    # --- publishing ---
     def _state(self) -> news.Stage:
-        s, now = self.standing, asyncio.get_running_loop().time()
+        s, now = self.current, asyncio.get_running_loop().time()
         return news.Stage(s.build, s.stage, s.phase, s.cap, (now - s.since) * 1e3)
 
-    def _first(self, agent: int, last: int | None) -> list[tuple[str, str, int]]:
+    def _initial_events(self, agent: int, last: int | None) -> list[tuple[str, str, int]]:
         if last == self._number:
             return []
         return [("stage", msgspec.json.encode(self._state()).decode(), self._number)]
 
-    def _wrote(self, agent: int, event: str, data: str) -> None:
+    def _record_written(self, agent: int, event: str, data: str) -> None:
         if event == "stage":
-            told: news.Stage = msgspec.json.decode(data, type=news.Stage)
+            published: news.Stage = msgspec.json.decode(data, type=news.Stage)
             now = asyncio.get_running_loop().time()
-            self.tape.add(ToldStage(now, agent, told.build, told.stage, told.phase, told.cap))
+            self.tape.add(ToldStage(now, agent, published.build, published.stage, published.phase, published.cap))
 
     def _publish(self) -> None:
         if not self.stalled:
             self._number += 1
             self.source.publish("stage", msgspec.json.encode(self._state()).decode(), self._number)
 
-    def _move(self, stage: int, phase: Literal["trial", "going_back", "released", "withdrawn"]) -> None:
+    def _enter_phase(self, stage: int, phase: Literal["trial", "going_back", "released", "withdrawn"]) -> None:
         now, caps = asyncio.get_running_loop().time(), self.service.rollout.stage
         cap = {"trial": caps[min(stage, len(caps) - 1)].cap, "released": 1.0}.get(phase, 0.0)
-        self.standing = Standing(self.standing.build, stage, phase, cap, now)
+        self.current = BuildState(self.current.build, stage, phase, cap, now)
         self.votes.clear()
-        self.tape.add(Moved(now, self.standing.build, stage, phase, cap))
-        self._number += 1  # an answer to a vote may tell of it before the event does
+        self.tape.add(Moved(now, self.current.build, stage, phase, cap))
+        self._number += 1  # an answer to a vote may report the change before the event does
         asyncio.get_running_loop().call_later(self.lag_s, self._publish)
 
     # --- stages ---
     def offer(self, build: int) -> None:
-        """Offer a build; one still on trial is taken off first."""
-        self._later(self._offer(build))
+        """Offer a build; one that is still on trial is withdrawn first."""
+        self._spawn(self._offer(build))
 
     async def _offer(self, build: int) -> None:
-        if self.standing.phase == "trial":
-            await self._go_back()
-        elif self.standing.phase == "released":
-            self.previous = self.standing.build
-        self.standing.build = build
-        self._move(0, "trial")
-        await self._staff()
-
-    async def _staff(self) -> None:
-        """Bring the stage's share of positions to the build on trial."""
-        roll, build, stage = self.service.rollout, self.standing.build, self.standing.stage
+        if self.current.phase == "trial":
+            await self._withdraw()
+        elif self.current.phase == "released":
+            self.previous = self.current.build
+        self.current.build = build
+        self._enter_phase(0, "trial")
+        await self._start_servers()
+
+    async def _start_servers(self) -> None:
+        """Start the build on trial at the stage's share of positions."""
+        rollout, build, stage = self.service.rollout, self.current.build, self.current.stage
         self._running_since = math.inf
-        wanted = max(1, round(roll.stage[stage].share * len(self.fleet.positions)))
+        wanted = max(1, round(rollout.stage[stage].share * len(self.fleet.positions)))
         zones = self.fleet.zones
-        # one zone after the other, so that every zone has some
+        # round-robin over zones, so that every zone gets some
         order = sorted(range(len(self.fleet.positions)), key=lambda i: (i // len(zones), i % len(zones)))
         for index in order[:wanted]:
             position = self.fleet.positions[index]
             if any(a.build == build for a in position.appliances):
                 continue
             await asyncio.sleep(self.start_s / max(wanted, 1))
-            if (self.standing.build, self.standing.phase) != (build, "trial"):
+            if (self.current.build, self.current.phase) != (build, "trial"):
                 return
-            await self._replace(position, build, keep=roll.replacement == "beside")
+            await self._replace(position, build, keep=rollout.replacement == "beside")
         self._running_since = asyncio.get_running_loop().time()
-        self._later(self._baked(build, stage))
+        self._spawn(self._count_after_bake(build, stage))
 
     async def _replace(self, position: Position, build: int, keep: bool) -> None:
         earlier = [a for a in position.appliances if a.build != build and not a.down]
@@ -149,60 +149,63 @@
             for appliance in earlier:
                 self.fleet.drain(position, appliance, self.service.rules.drain_grace / 1e3 + 1.0)
 
-    async def _baked(self, build: int, stage: int) -> None:
+    async def _count_after_bake(self, build: int, stage: int) -> None:
         await asyncio.sleep(self.service.rollout.bake / 1e3)
-        if (self.standing.build, self.standing.stage) == (build, stage):
-            self._count()
+        if (self.current.build, self.current.stage) == (build, stage):
+            self._count_votes()
 
-    def _standing_votes(self, verdict: str) -> int:
-        now, life = asyncio.get_running_loop().time(), self.service.rollout.vote_life / 1e3
-        s = self.standing
+    def _live_votes(self, verdict: str) -> int:
+        now, vote_life_s = asyncio.get_running_loop().time(), self.service.rollout.vote_life / 1e3
+        s = self.current
         return sum(
-            build == s.build and said == verdict and now - at <= life and (verdict == "back" or stage == s.stage)
-            for build, stage, said, at in self.votes.values()
+            build == s.build
+            and kind == verdict
+            and now - at <= vote_life_s
+            and (verdict == "back" or stage == s.stage)
+            for build, stage, kind, at in self.votes.values()
         )
 
-    def _count(self) -> None:
-        roll, s, now = self.service.rollout, self.standing, asyncio.get_running_loop().time()
-        if self.stalled or self._moving:
+    def _count_votes(self) -> None:
+        rollout, s, now = self.service.rollout, self.current, asyncio.get_running_loop().time()
+        if self.stalled or self._changing_phase:
             return
-        if s.phase in ("trial", "released") and s.build > 1 and self._standing_votes("back") >= roll.back_votes:
-            self._moving = True
-            return self._later(self._go_back())
-        baked = now - self._running_since >= roll.bake / 1e3
+        if s.phase in ("trial", "released") and s.build > 1 and self._live_votes("back") >= rollout.back_votes:
+            self._changing_phase = True
+            return self._spawn(self._withdraw())
+        baked = now - self._running_since >= rollout.bake / 1e3
         if (
             s.phase == "trial"
             and baked
-            and roll.control != "timer"
-            and (self._standing_votes("on") >= roll.on_votes)
+            and rollout.control != "timer"
+            and (self._live_votes("on") >= rollout.on_votes)
         ):
-            self._moving = True
-            self._later(self._go_on())
+            self._changing_phase = True
+            self._spawn(self._advance_stage())
 
-    async def _go_on(self) -> None:
-        s = self.standing
+    async def _advance_stage(self) -> None:
+        s = self.current
         if s.stage + 1 < len(self.service.rollout.stage):
-            self._move(s.stage + 1, "trial")
-            self._running_since, self._moving = math.inf, False
-            return await self._staff()
-        self._moving = False
-        self._move(s.stage, "released")
+            self._enter_phase(s.stage + 1, "trial")
+            self._running_since, self._changing_phase = math.inf, False
+            return await self._start_servers()
+        self._changing_phase = False
+        self._enter_phase(s.stage, "released")
         for position in self.fleet.positions:
             for appliance in [a for a in position.appliances if a.build != s.build and not a.draining]:
                 self.fleet.drain(position, appliance, self.service.rules.drain_grace / 1e3 + 1.0)
 
-    async def _go_back(self) -> None:
-        build = self.standing.build
-        self._move(self.standing.stage, "going_back")
+    async def _withdraw(self) -> None:
+        build = self.current.build
+        self._enter_phase(self.current.stage, "going_back")
         for position in self.fleet.positions:
-            bad = [a for a in position.appliances if a.build == build]
-            if bad and not any(a.build != build and not a.down for a in position.appliances):
+            withdrawn = [a for a in position.appliances if a.build == build]
+            if withdrawn and not any(a.build != build and not a.down for a in position.appliances):
                 await asyncio.sleep(self.start_s / len(self.fleet.positions))
                 await self.fleet.start(position, self.previous, cold=True)
-            for appliance in bad:
+            for appliance in withdrawn:
                 self.fleet.drain(position, appliance, self.service.rules.drain_grace / 1e3 + 1.0)
-        self._move(self.standing.stage, "withdrawn")
-        self._moving = False
+        self._enter_phase(self.current.stage, "withdrawn")
+        self._changing_phase = False
 
     # --- votes ---
     def _vote(self, peer: Peer, request: HttpRequest) -> None:
@@ -214,19 +217,19 @@
         self.tape.add(Voted(now, vote.agent, vote.build, vote.stage, vote.verdict))
         if self.stalled:
             return  # no answer
-        s = self.standing
-        present = vote.build == s.build and (
+        s = self.current
+        is_current = vote.build == s.build and (
             (vote.verdict in ("on", "none") and s.phase == "trial" and vote.stage == s.stage)
             or (vote.verdict == "back" and s.phase in ("trial", "released"))
             or vote.verdict == "none"
         )
-        if present and vote.verdict == "none":
+        if is_current and vote.verdict == "none":
             self.votes.pop(vote.agent, None)
-        elif present:
+        elif is_current:
             self.votes[vote.agent] = vote.build, vote.stage, vote.verdict, now
         state = self._state()
         if not self.lose_answers:
-            answer = news.VoteAnswer("ok" if present else "moot", state, f"desk-1:{self._number}")
+            answer = news.VoteAnswer("ok" if is_current else "moot", state, f"desk-1:{self._number}")
             self.tape.add(ToldStage(now, vote.agent, state.build, state.stage, state.phase, state.cap))
             peer.send(json_answer(200, msgspec.json.encode(answer)))
-        self._count()
+        self._count_votes()
--- a/otterquay/standins/http.py
+++ b/otterquay/standins/http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for the stand-ins: whole requests in, bytes out, a word when the peer leaves."""
+"""A small HTTP/1.1 server for the stand-ins, with handlers for whole requests and for closed connections."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     lost: Callable[[], None] | None = None
 
     def send(self, data: bytes) -> None:
-        """Write, if the peer is still there."""
+        """Write unless the connection is closing."""
         if not self.writer.is_closing():
             self.writer.write(data)
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class Listener:
-    """A listening socket; `handler` gets each request with the connection to answer it on."""
+    """A listening socket; `handler` is called with each request and its connection."""
 
     handler: Handler
     peers: set[Peer] = field(default_factory=set)
@@ -40,8 +40,8 @@
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
         """Listen; returns HOST:PORT."""
         self._server = await asyncio.start_server(self._serve, host, port, backlog=512)
-        name = self._server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        bound = self._server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
     def close(self, abort: bool = True) -> None:
@@ -77,37 +77,37 @@
 
 @dataclass(slots=True, eq=False)
 class EventSource:
-    """A server of numbered events to agents: `/...?agent=N`, resume by Last-Event-ID, other paths by `post`."""
+    """A server-sent-events server for agents: `GET /...?agent=N`, resumed by Last-Event-ID. `post` handles POST."""
 
     epoch: str
-    first: Callable[[int, int | None], list[tuple[str, str, int]]]  # agent, last number seen: what to send first
-    wrote: Callable[[int, str, str], None]  # agent, event, data: for the tape
+    first: Callable[[int, int | None], list[tuple[str, str, int]]]  # agent, last number seen -> first events
+    wrote: Callable[[int, str, str], None]  # called with agent, event and data after each write
     post: Handler | None = None
     heartbeat_s: float = 1.0
     listener: Listener = field(init=False)
     followers: dict[Peer, int] = field(default_factory=dict)
     stalled: bool = False
     twice: bool = False
-    _beat: asyncio.TimerHandle | None = None
+    _heartbeat_timer: asyncio.TimerHandle | None = None
 
     def __post_init__(self) -> None:
         self.listener = Listener(self._request)
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
         """Listen; returns HOST:PORT."""
-        self._heart()
+        self._send_heartbeats()
         return await self.listener.start(host, port)
 
     def close(self) -> None:
         """Stop."""
-        if self._beat:
-            self._beat.cancel()
+        if self._heartbeat_timer:
+            self._heartbeat_timer.cancel()
         self.listener.close()
 
-    def _heart(self) -> None:
+    def _send_heartbeats(self) -> None:
         for peer in self.followers:
             peer.send(HEARTBEAT)
-        self._beat = asyncio.get_running_loop().call_later(self.heartbeat_s, self._heart)
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(self.heartbeat_s, self._send_heartbeats)
 
     def _request(self, peer: Peer, request: HttpRequest) -> None:
         if request.method == b"POST" and self.post:
@@ -126,23 +126,23 @@
         self.followers.pop(peer, None)
 
     def write(self, peer: Peer, event: str, data: str, number: int) -> None:
-        """One event to one follower."""
+        """Send one event to one follower."""
         for _ in range(2 if self.twice else 1):
             peer.send(encode_event(event, data, f"{self.epoch}:{number}"))
         self.wrote(self.followers[peer], event, data)
 
     def publish(self, event: str, data: str, number: int, only: int | None = None) -> None:
-        """One event to all followers, or to one agent."""
+        """Send one event to all followers, or only to those of one agent."""
         for peer, agent in list(self.followers.items()):
             if only is None or agent == only:
                 self.write(peer, event, data, number)
 
     def drop_all(self) -> None:
-        """Break every stream."""
+        """Abort all streams."""
         for peer in list(self.followers):
             peer.writer.transport.abort()
 
 
 def json_answer(status: int, body: bytes) -> bytes:
-    """An answer with a JSON body."""
+    """The bytes of an answer with a JSON body."""
     return write_response(status, [(b"content-type", b"application/json")], body)
--- a/otterquay/standins/links.py
+++ b/otterquay/standins/links.py
@@ -1,4 +1,4 @@
-"""A faulty link: a relay between two loopback addresses that delays, cuts, swallows or resets."""
+"""A faulty link: a relay between two loopback addresses that can delay, drop or reset traffic."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(slots=True, eq=False)
 class LinkState:
-    """What is wrong with a link now; shared by all relays of one direction between two zones.
+    """The faults of a link now; shared by all relays of one direction between two zones.
 
-    A cut link swallows what is sent, as a lost route does: connects hang, nothing closes. `one_way` swallows only
-    what the far side sends. `reset` breaks a connection in the middle of the next message.
+    A cut link drops all data, like a lost route: connects hang and nothing closes. `one_way` drops only what the
+    target sends. `reset` breaks a connection in the middle of the next message.
     """
 
     delay_s: float = 0.0
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class Link:
-    """One relay: listens, and carries each connection to `target`."""
+    """One relay: listens, and forwards each connection to `target`."""
 
     target: str
     state: LinkState
@@ -36,8 +36,8 @@
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
         """Listen; returns HOST:PORT."""
         self._server = await asyncio.start_server(self._serve, host, port)
-        name = self._server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        bound = self._server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
     def close(self) -> None:
@@ -51,33 +51,33 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        far_writer: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            far_reader, far_writer = await asyncio.open_connection(*split_address(self.target))
+            target_reader, target_writer = await asyncio.open_connection(*split_address(self.target))
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pipe(reader, far_writer, False))
-                group.create_task(self._pipe(far_reader, writer, True))
+                group.create_task(self._pipe(reader, target_writer, False))
+                group.create_task(self._pipe(target_reader, writer, True))
         except (OSError, ExceptionGroup, asyncio.CancelledError):
             writer.transport.abort()
         finally:
             self._tasks.discard(task)
-            for one in (writer, far_writer):
-                if one:
-                    one.close()
+            for side in (writer, target_writer):
+                if side:
+                    side.close()
 
-    async def _pipe(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, back: bool) -> None:
+    async def _pipe(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, from_target: bool) -> None:
         while True:
             data = await reader.read(65536)
             if self.state.delay_s:
                 await asyncio.sleep(self.state.delay_s)
-            if self.state.cut or (back and self.state.one_way):
+            if self.state.cut or (from_target and self.state.one_way):
                 if not data:
-                    return  # the end does not cross either
+                    return  # the end of the stream is dropped, too
                 continue
             if not data:
                 with contextlib.suppress(OSError):
                     writer.write_eof()
-                raise ConnectionResetError  # one side closed: both do
+                raise ConnectionResetError  # one side has closed: close both
             if self.state.reset:
                 writer.write(data[: len(data) // 2])
                 await writer.drain()
--- a/otterquay/standins/tape.py
+++ b/otterquay/standins/tape.py
@@ -1,4 +1,4 @@
-"""What crossed the sockets, as the stand-ins saw it: the only thing that the auditor reads. Times are seconds."""
+"""The tape: events at the stand-ins' sockets. It is the auditor's only input. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Crossing(msgspec.Struct, frozen=True, tag=True):
-    """Something that crossed a socket at `at`."""
+    """An event at a socket, at the time `at`."""
 
     at: float
 
@@ -20,14 +20,14 @@
 
 
 class AgentDown(Crossing, frozen=True):
-    """An agent's process was killed or has ended; `kind` "stopped" promises that it answered all it held."""
+    """An agent's process was killed or ended; "stopped" implies that it answered all requests it held."""
 
     agent: int
     kind: Literal["killed", "stopped"]
 
 
 class Asked(Crossing, frozen=True):
-    """A client wrote a whole request: one try of the operation `op`."""
+    """A client wrote a whole request: one attempt of the operation `op`."""
 
     id: str
     op: str
@@ -40,7 +40,7 @@
 
 
 class Answered(Crossing, frozen=True):
-    """A client read a whole answer; `right` is told by the content where it was served."""
+    """A client read a whole answer; `right` is whether the content of a served one was correct."""
 
     id: str
     kind: Literal["served", "refused", "failed"]
@@ -49,19 +49,19 @@
 
 
 class Surplus(Crossing, frozen=True):
-    """A client read bytes on a connection on which nothing was owed to it."""
+    """A client read bytes on a connection without an open request."""
 
     id: str
 
 
 class Left(Crossing, frozen=True):
-    """A client closed before its answer: it gave up (or was scripted to leave)."""
+    """A client closed its connection before the answer: it timed out, or was scripted to."""
 
     id: str
 
 
 class Lost(Crossing, frozen=True):
-    """A client's connection ended without an answer; `taken` when the whole request had been written."""
+    """A client's connection ended without an answer; `taken` if the whole request had been written."""
 
     id: str
     taken: bool
@@ -80,7 +80,7 @@
 
 
 class Replied(Crossing, frozen=True):
-    """An appliance wrote an answer; "not_seen" vouches that nothing ran."""
+    """An appliance wrote an answer; "not_seen" guarantees that the request did not run."""
 
     id: str
     tag: str
@@ -89,7 +89,7 @@
 
 
 class Ran(Crossing, frozen=True):
-    """A request took effect at an appliance, or was dropped as a repeat of one that had."""
+    """A request took effect at an appliance, or was dropped as a repeat of one that had taken effect."""
 
     id: str
     op: str
@@ -98,7 +98,7 @@
 
 
 class Started(Crossing, frozen=True):
-    """An appliance started; its whole capacity is `capacity` core seconds a second, `cold` when it rises to it."""
+    """An appliance started; `capacity` is in core seconds per second, reached only after a while if `cold`."""
 
     server: int
     incarnation: int
@@ -108,7 +108,7 @@
 
 
 class ToldServer(Crossing, frozen=True):
-    """The list wrote an agent what it knows of a server."""
+    """The list sent an agent the state of a server."""
 
     agent: int
     server: int
@@ -118,7 +118,7 @@
 
 
 class ToldStage(Crossing, frozen=True):
-    """The desk wrote an agent where the newest build stands."""
+    """The desk sent an agent the state of the newest build."""
 
     agent: int
     build: int
@@ -137,7 +137,7 @@
 
 
 class Moved(Crossing, frozen=True):
-    """The desk's newest build came to stand here."""
+    """The desk changed the state of the newest build."""
 
     build: int
     stage: int
@@ -146,20 +146,20 @@
 
 
 class Stalled(Crossing, frozen=True):
-    """The stand-ins' own loop woke this late: what they saw then may be as much off."""
+    """The stand-ins' own event loop woke `seconds` late; times recorded then may be off by as much."""
 
     seconds: float
 
 
 class Stood(Crossing, frozen=True):
-    """An agent was made to stand still from `since` until now."""
+    """An agent was suspended from `since` until now."""
 
     agent: int
     since: float
 
 
 class Severed(Crossing, frozen=True):
-    """From `since` until now news on the way to these agents was lost, or came by now; all came `late_s` late."""
+    """From `since` until now, news to these agents was lost or held back; all of it was `late_s` late."""
 
     agents: list[int]
     since: float
@@ -168,7 +168,7 @@
 
 
 class Typed(Crossing, frozen=True):
-    """A chat client wrote a command; `op` is the word by which a matchmaker books it."""
+    """A chat client wrote a command; `op` is the word that identifies the operation to the matchmaker."""
 
     op: str
     client: int
@@ -176,7 +176,7 @@
 
 
 class Told(Crossing, frozen=True):
-    """A chat client read a word on its command; `again` when it had that very answer already."""
+    """A chat client read a reply to its command; `again` if it had read the same reply before."""
 
     op: str
     client: int
@@ -186,7 +186,7 @@
 
 
 class Resumed(Crossing, frozen=True):
-    """A chat client came back; `held` when its session was still there."""
+    """A chat client reconnected; `held` if its session still existed."""
 
     client: int
     agent: int
@@ -219,22 +219,22 @@
 
 
 class Tape:
-    """The crossings of one run, in the order they were seen."""
+    """The crossings of one run, in the order of their recording."""
 
     def __init__(self) -> None:
         self.crossings: list[Kinds] = []
 
     def add(self, crossing: Kinds) -> None:
-        """Note a crossing."""
+        """Record a crossing."""
         self.crossings.append(crossing)
 
     def dump(self) -> bytes:
-        """One JSON object a line."""
+        """The tape as JSON lines."""
         return b"".join(msgspec.json.encode(c) + b"\n" for c in self.crossings)
 
     @staticmethod
     def read(data: bytes) -> Tape:
-        """A tape from its lines; msgspec.MsgspecError for what is none."""
+        """Read a tape from JSON lines; raises msgspec.MsgspecError for anything else."""
         tape = Tape()
         tape.crossings = [msgspec.json.decode(line, type=Kinds) for line in data.splitlines()]
         return tape
--- a/otterquay/standins/yard.py
+++ b/otterquay/standins/yard.py
@@ -1,6 +1,4 @@
-"""The yard as an HTTP server: its book behind a listener, with late, lost and repeated answers. It judges
-nothing.
-"""
+"""The yard as an HTTP server, with late and lost answers and lost requests. It checks nothing itself."""
 
 from __future__ import annotations
 
@@ -16,7 +14,7 @@
 
 
 def read_request(http: HttpRequest) -> tuple[int, Request] | None:
-    """Agent and request; None for what names no agent, or a token that is none."""
+    """Parse agent and request; None without a valid agent, token or method."""
     try:
         agent = int(http.headers.get(b"otterquay-agent", b""))
         token = Token.parse(http.headers.get(b"otterquay-token", b"").decode("latin-1"))
@@ -31,7 +29,7 @@
 
 
 def write_answer(answer: Answer) -> bytes:
-    """The answer's bytes: a stale token is answered with the newest, all else with the resource's ETag."""
+    """The bytes of an answer. A stale token is answered with the newest one, all else with the resource's ETag."""
     name = b"otterquay-fence" if answer.status == 409 else b"etag"
     headers = [(b"content-type", b"application/json")] + ([(name, answer.etag.encode())] if answer.etag else [])
     return write_response(answer.status, headers, answer.body)
@@ -39,7 +37,7 @@
 
 @dataclass(slots=True, eq=False)
 class Yard:
-    """`lose` and `late_s` act on answers, `lose_asked` on requests: drawn for each."""
+    """Drops the shares `lose` of answers and `lose_asked` of requests; delays answers by up to `late_s`."""
 
     ledger: YardLedger
     rng: random.Random
--- a/tests/fleet/cluster_world.py
+++ b/tests/fleet/cluster_world.py
@@ -1,4 +1,4 @@
-"""A cluster world whose agents are not processes, for its own ways with them."""
+"""A cluster world with fake agent hosts, to test how it starts and stops agents."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 EXAMPLES = Path(__file__).parents[2] / "examples" / "cluster"
 
 
-class Slow:
-    """A host whose start takes until it is let go."""
+class SlowHost:
+    """A fake host whose start blocks until the event `may_start` is set."""
 
     def __init__(self) -> None:
         self.starts = 0
-        self.asked, self.go = asyncio.Event(), asyncio.Event()
+        self.start_called, self.may_start = asyncio.Event(), asyncio.Event()
 
     async def start(self) -> str:
         self.starts += 1
-        self.asked.set()
-        await self.go.wait()
+        self.start_called.set()
+        await self.may_start.wait()
         return "somewhere"
 
     async def kill(self) -> None: ...
@@ -33,8 +33,8 @@
     def pause(self, on: bool) -> None: ...
 
 
-def a_world(hosts: list[Host]) -> ClusterWorld:
-    """The first example's day, not begun, with these hosts."""
+def make_world(hosts: list[Host]) -> ClusterWorld:
+    """A world for the first example day, not started, with the given hosts."""
     cluster = load_cluster_day(min(EXAMPLES.glob("[01]*.hcl")))
     base = EXAMPLES / "agent.hcl"
     world = ClusterWorld(
--- a/tests/fleet/test_cluster.py
+++ b/tests/fleet/test_cluster.py
@@ -1,6 +1,7 @@
-"""Processes of the program with faults between them: some days in CI; all, and more seeds, by command.
+"""Cluster days with real agent processes and injected faults.
 
-The days run side by side, and a verdict waits for a state, not for a time, so a busy machine gives the same one.
+CI plays a few of the days; all of them, and other seeds, are played by command. The days run concurrently. Results
+depend on reaching a state, not on times, so a busy machine does not change them.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 import pytest
 from click.testing import CliRunner
-from cluster_world import Slow, a_world
+from cluster_world import SlowHost, make_world
 
 from otterquay.cli import main
 from otterquay.lab.cluster.day import load_cluster_day
@@ -20,7 +21,7 @@
 
 ROOT = Path(__file__).parents[2]
 DAYS = sorted(p for p in (ROOT / "examples" / "cluster").glob("[01]*.hcl"))
-IN_CI = ("02", "06", "11", "13")
+CI_PREFIXES = ("02", "06", "11", "13")
 COUNTS = (
     "two_owners",
     "late_harm",
@@ -35,10 +36,11 @@
     "counted_twice",
     "state_differs",
 )
-# the five rules are left to the command and to tests of their own: their times are in doubt where processes crowd
+# The five rules are checked by the command and by other tests, as their time limits are unreliable beside many
+# processes.
 
 
-async def played(day: Path) -> dict[str, object]:
+async def play(day: Path) -> dict[str, object]:
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -54,7 +56,7 @@
     try:
         out, err = await asyncio.wait_for(process.communicate(), 240)
     finally:
-        if process.returncode is None:  # the other days of a run that failed: SIGTERM ends their agents, too
+        if process.returncode is None:  # another day failed; SIGTERM also stops the agents
             process.terminate()
             await process.wait()
     assert out, err.decode()[-2000:]
@@ -62,31 +64,31 @@
 
 
 def test_processes_with_faults_between_them_do_no_harm_and_come_to_rest() -> None:
-    days = [day for day in DAYS if day.name.startswith(IN_CI)]
+    days = [day for day in DAYS if day.name.startswith(CI_PREFIXES)]
 
-    async def all_of_them() -> list[dict[str, object]]:
-        return list(await asyncio.gather(*(played(day) for day in days)))
+    async def play_all() -> list[dict[str, object]]:
+        return list(await asyncio.gather(*(play(day) for day in days)))
 
-    for day, found in zip(days, asyncio.run(all_of_them()), strict=True):
-        assert {name: found[name] for name in COUNTS} == dict.fromkeys(COUNTS, 0), (day.name, found["notes"])
-        assert found["rested"], day.name
-        figures = found["figures"]
+    for day, result in zip(days, asyncio.run(play_all()), strict=True):
+        assert {name: result[name] for name in COUNTS} == dict.fromkeys(COUNTS, 0), (day.name, result["notes"])
+        assert result["rested"], day.name
+        figures = result["figures"]
         assert isinstance(figures, dict) and figures["grants"] >= 3 and figures["started"] >= 2, figures
         if day.name.startswith("06"):
             assert figures["coordinators"] >= 2
-        if day.name.startswith("13"):  # five posts given out; those of the agent that brings nothing moved on
+        if day.name.startswith("13"):  # five posts assigned, and those of the agent without progress reassigned
             assert figures["posts"] == 5 and figures["posts_moved"] >= 6
 
 
-async def _one_start_for_all() -> None:
-    host = Slow()
-    world = a_world([host])
+async def _share_one_start() -> None:
+    host = SlowHost()
+    world = make_world([host])
     trouble = asyncio.create_task(world.restart_agent(0))
-    await host.asked.wait()
-    heal = asyncio.create_task(world.restart_agent(0))  # the day ends while the trouble's start is under way
+    await host.start_called.wait()
+    heal = asyncio.create_task(world.restart_agent(0))  # the day ends while the trouble's start is in progress
     trouble.cancel()
     await asyncio.gather(trouble, return_exceptions=True)
-    host.go.set()
+    host.may_start.set()
     await heal
     assert trouble.cancelled() and host.starts == 1 and world.running == {0: "somewhere"}
     await world.restart_agent(0)
@@ -94,22 +96,23 @@
 
 
 def test_a_start_under_way_as_the_day_ends_is_waited_for_and_not_begun_again() -> None:
-    asyncio.run(_one_start_for_all())
+    asyncio.run(_share_one_start())
 
 
 def test_a_place_has_one_process_at_a_time(tmp_path: Path) -> None:
-    async def twice() -> tuple[int | None, str]:
+    async def start_while_running() -> tuple[int | None, str]:
         place = Place(0, 1, "north", "", "", 1, {})
         host = Process(tmp_path / "no-such.hcl", place, tmp_path / "key", tmp_path)
         first = host.process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", "input()", stdin=asyncio.subprocess.PIPE
         )
-        with pytest.raises(RuntimeError) as said:
+        with pytest.raises(RuntimeError) as raised:
             await host.start()
-        return first.returncode, str(said.value)
+        return first.returncode, str(raised.value)
 
-    ended, said = asyncio.run(twice())
-    assert ended == -9 and "did not start" in said and "no-such.hcl" in said  # its own last words are told
+    returncode, message = asyncio.run(start_while_running())
+    # the error has the output of the process that failed
+    assert returncode == -9 and "did not start" in message and "no-such.hcl" in message
 
 
 def test_there_is_a_day_for_each_fault_and_each_can_be_read() -> None:
@@ -119,7 +122,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('duration = "1s"\nbound = 5\nsite "a" {\n agents = 2\n members = 2\n}\n', "members in all"),
         ('duration = "1s"\nbound = 5\nsite "a" {\n agents = 1\n members = 3\n}\n', "3 members of 1 agents"),
@@ -130,7 +133,7 @@
         ),
     ],
 )
-def test_a_day_that_cannot_be_is_refused(text: str, said: str, tmp_path: Path) -> None:
+def test_a_day_that_cannot_be_is_refused(text: str, message: str, tmp_path: Path) -> None:
     (tmp_path / "day.hcl").write_text(text)
-    found = CliRunner().invoke(main, ["lab", "cluster", str(tmp_path / "day.hcl")])
-    assert found.exit_code == 2 and said in found.output
+    result = CliRunner().invoke(main, ["lab", "cluster", str(tmp_path / "day.hcl")])
+    assert result.exit_code == 2 and message in result.output
