--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -52,13 +52,13 @@
         for pair in pairs:
             self.cuts[pair] = self.cuts.get(pair, 0) + 1
 
-        def heal() -> None:
+        def undo() -> None:
             for pair in pairs:
                 self.cuts[pair] -= 1
                 if not self.cuts[pair]:
                     del self.cuts[pair]
 
-        return heal
+        return undo
 
 
 @dataclass(slots=True)
@@ -86,7 +86,7 @@
         self.plan, self.rng, self.disk_s = plan, random.Random(seed), disk_s
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = 0
+        self.event_number = 0
         self.links = Links()
         self.yard = YardLedger(random.Random(seed + 1))
         self.judge = Judge(plan.bound, sites=plan.sites)
@@ -101,10 +101,10 @@
         self.event_count, self.max_events = 0, MAX_EVENTS
 
     # --- time ---
-    def schedule(self, when: float, what: Callable[[], None]) -> None:
-        """Call `what` at the time `when`, or now if that is past."""
-        self.order += 1
-        heapq.heappush(self.events, (max(when, self.now), self.order, what))
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
+        """Call `callback` at the time `when`, or now if that is past."""
+        self.event_number += 1
+        heapq.heappush(self.events, (max(when, self.now), self.event_number, callback))
 
     def run(self, until: float, stop: Callable[[], bool] | None = None) -> bool:
         """Run events up to the time `until`, or until `stop` returns true; returns whether it did."""
@@ -112,8 +112,8 @@
             self.event_count += 1
             if self.event_count > self.max_events:
                 raise EventLimitError(f"more than {self.max_events} events by {self.now:.1f} s")
-            self.now, _, what = heapq.heappop(self.events)
-            what()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
             if stop is not None and stop():
                 return True
         self.now = max(self.now, until)
@@ -166,11 +166,11 @@
         host.awake_since = self.now
         if not on:
             backlog, host.backlog = host.backlog, []
-            for what in backlog:
-                what()
+            for callback in backlog:
+                callback()
 
-    def _guard(self, host: Host, what: Callable[[], None]) -> Callable[[], None]:
-        """Defer `what` while the process is stopped; drop it if the process has ended."""
+    def _guard(self, host: Host, callback: Callable[[], None]) -> Callable[[], None]:
+        """Defer `callback` while the process is stopped; drop it if the process has ended."""
         life = host.life
 
         def run() -> None:
@@ -179,7 +179,7 @@
             if host.stalled:
                 host.backlog.append(run)
             else:
-                what()
+                callback()
 
         return run
 
@@ -339,7 +339,7 @@
         if any(h.node and h.node.site.journal.acts for h in self.hosts.values()):
             return False
         group = leader.duties.whole
-        for name, duty in group.duties.items():  # a duty of a dead owner counts as open until it is granted anew
+        for name, duty in group.duties.items():  # a duty of a dead owner is open until it is granted again
             owner = self.hosts[duty.owner].node if duty.owner is not None else None
             if owner is None or name not in owner.held:
                 return False
--- a/otterquay/standins/yard_ledger.py
+++ b/otterquay/standins/yard_ledger.py
@@ -58,7 +58,7 @@
         """The ledger of a site, created on first use."""
         return self.sites.setdefault(name, SiteLedger())
 
-    def _record_effect(self, at: float, agent: int, site: str, request: Request, what: str, count: int = 0) -> None:
+    def _note(self, at: float, agent: int, site: str, request: Request, what: str, count: int = 0) -> None:
         effect = Effect(at, agent, site, request.token, what, request.key, count)
         self.tape.append(effect)
         self.on_effect(effect)
@@ -82,12 +82,12 @@
         if request.method == "GET" and not rest:
             return self._list(ledger)
         if self.fencing and request.token < ledger.fence:
-            self._record_effect(at, agent, name, request, "stale")
+            self._note(at, agent, name, request, "stale")
             return Answer(409, str(ledger.fence))
         if request.method == "PUT" and rest == ["fence"]:
             if request.token > ledger.fence:
                 ledger.fence = request.token
-                self._record_effect(at, agent, name, request, "fenced")
+                self._note(at, agent, name, request, "fenced")
             return self._list(ledger)
         if request.method == "POST" and rest == ["orders"]:
             return self._order(at, agent, name, ledger, request)
@@ -108,44 +108,42 @@
         try:
             wanted: Wanted = msgspec.json.decode(request.body, type=Wanted)
         except msgspec.MsgspecError:
-            self._record_effect(at, agent, name, request, "refused")
+            self._note(at, agent, name, request, "refused")
             return Answer(400)
         if not request.key or abs(wanted.count) > 1024 or wanted.count == 0:
-            self._record_effect(at, agent, name, request, "refused")
+            self._note(at, agent, name, request, "refused")
             return Answer(422)
         ledger.fence = max(ledger.fence, request.token)
-        order = ledger.orders.get(request.key)
-        if order and (order.kind, order.count) != (wanted.kind, wanted.count):
+        known = ledger.orders.get(request.key)
+        if known and (known.kind, known.count) != (wanted.kind, wanted.count):
             return Answer(422)
-        if order is None or not self.deduplicates:
-            order = Ordered(request.key, wanted.kind, wanted.count, 0, str(request.token))
+        if known is None or not self.deduplicates:
+            known = Ordered(request.key, wanted.kind, wanted.count, 0, str(request.token))
             ledger.first.setdefault(request.key, request.token)
         else:
-            self._record_effect(at, agent, name, request, "repeated")
-        left = 0 if order.cancelled else order.count - order.started
+            self._note(at, agent, name, request, "repeated")
+        left = 0 if known.cancelled else known.count - known.started
         step = left
         if left > 1 and self.rng.random() < self.half:
             step = self.rng.randint(0, left - 1)
         if step < 0:
-            step = -min(-step, ledger.alive.get(order.kind, 0))
-        ledger.alive[order.kind] = ledger.alive.get(order.kind, 0) + step
-        ledger.orders[request.key] = order = msgspec.structs.replace(order, started=order.started + step)
+            step = -min(-step, ledger.alive.get(known.kind, 0))
+        ledger.alive[known.kind] = ledger.alive.get(known.kind, 0) + step
+        ledger.orders[request.key] = known = msgspec.structs.replace(known, started=known.started + step)
         if step:
             ledger.version += 1
-            self._record_effect(at, agent, name, request, "started", step)
-        status = 201 if order.started == order.count else 202
-        return Answer(status, f'"{order.started}"', msgspec.json.encode(order))
-
-    def _cancel(
-        self, at: float, agent: int, name: str, ledger: SiteLedger, request: Request, order_id: str
-    ) -> Answer:
-        order = ledger.orders.get(order_id)
-        if order is None:
+            self._note(at, agent, name, request, "started", step)
+        status = 201 if known.started == known.count else 202
+        return Answer(status, f'"{known.started}"', msgspec.json.encode(known))
+
+    def _cancel(self, at: float, agent: int, name: str, ledger: SiteLedger, request: Request, order: str) -> Answer:
+        known = ledger.orders.get(order)
+        if known is None:
             return Answer(404)
-        if request.match and request.match != f'"{order.started}"':
+        if request.match and request.match != f'"{known.started}"':
             return Answer(412)
         ledger.fence = max(ledger.fence, request.token)
-        ledger.orders[order_id] = order = msgspec.structs.replace(order, cancelled=True)
+        ledger.orders[order] = known = msgspec.structs.replace(known, cancelled=True)
         ledger.version += 1
-        self._record_effect(at, agent, name, request, "cancelled")
-        return Answer(200, f'"{order.started}"', msgspec.json.encode(order))
+        self._note(at, agent, name, request, "cancelled")
+        return Answer(200, f'"{known.started}"', msgspec.json.encode(known))
