--- a/otterquay/lab/cluster/day.py
+++ b/otterquay/lab/cluster/day.py
@@ -1,4 +1,4 @@
-"""The schema of a cluster day in HCL: sites, wanted servers, and troubles triggered by time or by a message."""
+"""The schema of a cluster day in HCL: sites, wanted servers, and troubles triggered by time or by an event."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class Trouble(Block):
-    """A fault injected at a time, or at the first message of the type `when` after it.
+    """A fault injected at a time, or at the first event `when` after it.
 
     `who` is an agent's number, or "leader", "owner:DUTY" or "coordinator:SITE" as last seen on the wire.
     """
@@ -53,7 +53,7 @@
     at: Duration
     lasts: Duration = 0.0
     when: Literal["", "order", "claim", "handover", "yard_order", "lead"] = ""
-    after: Duration = 0.0  # delay after the message of the type `when`
+    after: Duration = 0.0  # delay after the event `when`
     who: str = ""
     site: str = ""
     inward: bool = False
@@ -81,16 +81,16 @@
     trouble: Annotated[list[Trouble], REPEATED] = []
 
     @model_validator(mode="after")
-    def _agree(self) -> ClusterDay:
+    def _check_consistency(self) -> ClusterDay:
         members = sum(s.members for s in self.site.values())
         if members not in (3, 5):
             raise ValueError(f"site: {members} members in all, must be three or five")
         for name, site in self.site.items():
             if site.members > site.agents:
                 raise ValueError(f"site.{name}: {site.members} members of {site.agents} agents")
-        for i, one in enumerate(self.trouble):
-            if one.site and one.site not in self.site:
-                raise ValueError(f"trouble.{i}.site: {one.site!r} is none of {list(self.site)}")
+        for i, trouble in enumerate(self.trouble):
+            if trouble.site and trouble.site not in self.site:
+                raise ValueError(f"trouble.{i}.site: {trouble.site!r} is none of {list(self.site)}")
         return self
 
 
--- a/otterquay/lab/cluster/world.py
+++ b/otterquay/lab/cluster/world.py
@@ -222,11 +222,11 @@
         await asyncio.sleep(trouble.at / 1e3)
         agent: int | None = None
         if trouble.when:
-            crossing: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+            event_agent: asyncio.Future[int] = asyncio.get_running_loop().create_future()
             self.observer.hooks.setdefault(trouble.when, []).append(
-                lambda a: None if crossing.done() else crossing.set_result(a)
+                lambda a: None if event_agent.done() else event_agent.set_result(a)
             )
-            agent = await crossing
+            agent = await event_agent
             await asyncio.sleep(trouble.after / 1e3)
         if self.ending:
             return
@@ -238,16 +238,16 @@
             self._undo_later(trouble.lasts / 1e3, done)
 
     def _undo_later(self, lasts: float, undo: Callable[[], None]) -> None:
-        left = [undo]
+        pending = [undo]
 
-        def once() -> None:
-            if left:
-                left.pop()()
+        def undo_once() -> None:
+            if pending:
+                pending.pop()()
 
-        self.pending_undos.append(once)
-        asyncio.get_running_loop().call_later(lasts, once)
+        self.pending_undos.append(undo_once)
+        asyncio.get_running_loop().call_later(lasts, undo_once)
 
-    def _agent_of(self, trouble: Trouble, crossing: int | None) -> int:
+    def _agent_of(self, trouble: Trouble, event_agent: int | None) -> int:
         kind, _, rest = trouble.who.partition(":")
         if kind.isdigit():
             return int(kind)
@@ -259,7 +259,7 @@
             duty = CAPACITY if rest in ("", CAPACITY) else duty_of(rest)
             owner = self.observer.books.whole.duties[duty].owner
             return owner if owner is not None else 0
-        return crossing if crossing is not None else 0
+        return event_agent if event_agent is not None else 0
 
 
 def day_of(cluster: ClusterDay) -> Day:
--- a/otterquay/lab/fleetsim/draw.py
+++ b/otterquay/lab/fleetsim/draw.py
@@ -222,13 +222,13 @@
         inside, outside = self._site()
         pairs = both_directions(inside, outside)
 
-        def again(left: int) -> None:
-            if left:
+        def flap(cuts_left: int) -> None:
+            if cuts_left:
                 undo = self.sim.links.cut(pairs)
                 self._undo_later(self.rng.uniform(0.5, 6.0), undo)
-                self.sim.schedule(self.sim.now + self.rng.uniform(1.0, 8.0), lambda: again(left - 1))
+                self.sim.schedule(self.sim.now + self.rng.uniform(1.0, 8.0), lambda: flap(cuts_left - 1))
 
-        again(self.rng.randint(2, 5))
+        flap(self.rng.randint(2, 5))
 
     def _lose_majority(self, duration_s: float) -> None:
         members = list(self.plan.members)
@@ -260,10 +260,10 @@
         self.sim.hosts[one].disk = {}
         self._start_later(one, duration_s)
 
-    def _start_later(self, one: int, duration_s: float) -> None:
+    def _start_later(self, number: int, duration_s: float) -> None:
         def start() -> None:
-            if self.sim.hosts[one].node is None:
-                self.sim.start(one)
+            if self.sim.hosts[number].node is None:
+                self.sim.start(number)
 
         self._undo_later(duration_s, start)
 
