--- a/otterquay/standins/yard.py
+++ b/otterquay/standins/yard.py
@@ -1,6 +1,4 @@
-"""The yard as an HTTP server: its book behind a listener, with late, lost and repeated answers. It judges
-nothing.
-"""
+"""The yard as an HTTP server, with late and lost answers and lost requests. It checks nothing itself."""
 
 from __future__ import annotations
 
@@ -12,11 +10,11 @@
 from otterquay.duties.yard_orders import Answer, Request
 from otterquay.protocol.http import HttpRequest, write_response
 from otterquay.standins.http import Listener, Peer
-from otterquay.standins.yard_book import YardBook
+from otterquay.standins.yard_ledger import YardLedger
 
 
 def read_request(http: HttpRequest) -> tuple[int, Request] | None:
-    """Agent and request; None for what names no agent, or a token that is none."""
+    """Parse agent and request; None without a valid agent, token or method."""
     try:
         agent = int(http.headers.get(b"otterquay-agent", b""))
         token = Token.parse(http.headers.get(b"otterquay-token", b"").decode("latin-1"))
@@ -31,7 +29,7 @@
 
 
 def write_answer(answer: Answer) -> bytes:
-    """The answer's bytes: a stale token is answered with the newest, all else with the resource's ETag."""
+    """The bytes of an answer. A stale token is answered with the newest one, all else with the resource's ETag."""
     name = b"otterquay-fence" if answer.status == 409 else b"etag"
     headers = [(b"content-type", b"application/json")] + ([(name, answer.etag.encode())] if answer.etag else [])
     return write_response(answer.status, headers, answer.body)
@@ -39,9 +37,9 @@
 
 @dataclass(slots=True, eq=False)
 class Yard:
-    """`lose` and `late_s` act on answers, `lose_asked` on requests: drawn for each."""
+    """Drops the shares `lose` of answers and `lose_asked` of requests; delays answers by up to `late_s`."""
 
-    book: YardBook
+    ledger: YardLedger
     rng: random.Random
     lose: float = 0.0
     lose_asked: float = 0.0
@@ -64,7 +62,7 @@
         if self.rng.random() < self.lose_asked:
             return
         asked = read_request(http)
-        answer = Answer(400) if asked is None else self.book.answer(loop.time(), *asked)
+        answer = Answer(400) if asked is None else self.ledger.answer(loop.time(), *asked)
         if self.rng.random() < self.lose:
             return
         if self.late_s:
--- a/tests/fleet/test_duties.py
+++ b/tests/fleet/test_duties.py
@@ -14,7 +14,7 @@
 from otterquay.duties.state import Duties
 from otterquay.duties.token import CAPACITY, Token, duty_of
 from otterquay.duties.yard_orders import Answer, PendingOrder, YardOrder
-from otterquay.standins.yard_book import YardBook
+from otterquay.standins.yard_ledger import YardLedger
 
 NORTH = duty_of("north")
 
@@ -161,7 +161,7 @@
 
 
 def test_an_order_is_retried_under_one_id_and_its_rest_is_cancelled_in_the_end() -> None:
-    yard = YardBook(random.Random(1), half=1.0)
+    yard = YardLedger(random.Random(1), half=1.0)
     pending_order, now = PendingOrder("north", "1.0-1", "x", 1000, Token(1)), 0.0
     requests = []
     while not pending_order.final and now < 60:
--- a/tests/fleet/test_handover.py
+++ b/tests/fleet/test_handover.py
@@ -97,7 +97,7 @@
     sim = running(3)
     leader = sim.leader()
     assert leader is not None
-    sim.leave(leader.plan.me)
+    sim.terminate(leader.plan.me)
     assert without_leader(sim, leader.plan.me) < 0.5 and sim.hosts[leader.plan.me].node.has_left()  # type: ignore[union-attr]
     sim = running(3)
     leader = sim.leader()
@@ -108,20 +108,20 @@
 
 def test_a_slow_disk_of_the_leader_moves_leadership_and_slow_disks_everywhere_do_not() -> None:
     sim = running(4)
-    sim.keep_lines = True
+    sim.keep_log_records = True
     leader = sim.leader()
     assert leader is not None
     sim.hosts[leader.plan.me].slow_s = 0.5
     sim.run(sim.now + 20.0)
     after = sim.leader()
     assert after is not None and after.plan.me != leader.plan.me
-    assert [e for _, _, e, _ in sim.lines].count("leader_hands_over") == 1, (
+    assert [e for _, _, e, _ in sim.log_records].count("leader_hands_over") == 1, (
         "leadership does not move back and forth"
     )
     sim = running(4)
-    sim.keep_lines = True
+    sim.keep_log_records = True
     for host in sim.hosts.values():
         host.slow_s = 0.3
     sim.run(sim.now + 20.0)
-    assert "leader_hands_over" not in [e for _, _, e, _ in sim.lines]
+    assert "leader_hands_over" not in [e for _, _, e, _ in sim.log_records]
     assert not any(sim.judge.counts.values()) and len(PLAN.members) == 3
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -23,7 +23,7 @@
     sim = Sim(PLAN, seed)
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     sim.run(sim.now + 3.0)
     return sim
 
@@ -95,7 +95,7 @@
     assert owner is not None
     host = sim.hosts[owner]
     assert host.node is not None
-    sim._step(host, host.node.shut_down(sim.now))
+    sim._add_step(host, host.node.shut_down(sim.now))
     assert sim.run(sim.now + 10.0, lambda: leader.duties.group_state.duties["capacity/north"].token > token)
     assert sim.now - at < PLAN.terms.owner / 2, "long before its lease would have run out"
     assert (
@@ -149,7 +149,7 @@
     sim = Sim(replace(PLAN, intervals=replace(PLAN.intervals, yard=0.4)), 2)
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     sim.yard.end("north", "x", 2)
     started_at = sim.now
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("north").alive["x"] == 4)
@@ -169,10 +169,10 @@
 
 def test_only_an_owner_that_renews_but_delivers_nothing_is_relieved() -> None:
     sim = Sim(GRAY, 1)
-    sim.keep_lines = True
+    sim.keep_log_records = True
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     leader = sim.leader()
     assert leader is not None
     gray = leader.duties.group_state.duties["capacity/south"].owner
@@ -182,7 +182,7 @@
         sim.yard.end(sim.rng.choice(["north", "south"]), sim.rng.choice("abc"), 1)
         sim.run(sim.now + 1.5)
     assert sim.run(sim.now + 10.0, lambda: sim.yard.site("south").alive == {"a": 2, "b": 4, "c": 2})
-    relieved = [fields["agent"] for _, _, event, fields in sim.lines if event == "owner_relieved"]
+    relieved = [fields["agent"] for _, _, event, fields in sim.log_records if event == "owner_relieved"]
     assert relieved == [gray] and not any(sim.judge.counts.values())
     posts = sim.leader().duties.group_state.posts.posts.values()  # type: ignore[union-attr]
     assert all(post.owner not in (None, gray) for post in posts), "it does not hold a post either"
--- a/tests/fleet/test_retiring.py
+++ b/tests/fleet/test_retiring.py
@@ -27,7 +27,7 @@
     sim = Sim(plan, 5)
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     for host in sim.hosts.values():
         set_wanted(host.node, wanted_count)
     return sim
@@ -59,7 +59,7 @@
     leader = sim.leader()
     assert leader is not None
     duties = leader.duties
-    sim.judge.end(sim.yard, duties)
+    sim.judge.check_end(sim.yard, duties)
     assert not any(sim.judge.counts.values()), sim.judge.notes
     assert duties.alive("north", "x") == 2 and not duties.group_state.orders
 
--- a/tests/fleet/test_runtimes.py
+++ b/tests/fleet/test_runtimes.py
@@ -195,7 +195,7 @@
                 host.node.demand.record("read")
                 host.node.run_times.record(sim.now, "read", "b", 3, 1, 200.0, alone=True, timed_out=False)
         if sim.now < 60:
-            sim.at(sim.now + 0.5, record_demand)
+            sim.schedule(sim.now + 0.5, record_demand)
 
     record_demand()
     sim.run(60.0)
--- a/tests/fleet/test_settlement.py
+++ b/tests/fleet/test_settlement.py
@@ -11,7 +11,7 @@
     """Cut off a site, let its coordinator order, kill it and wipe its disk, then reconnect the site."""
     for number in sim.hosts:
         sim.start(number)
-    assert sim.run(60.0, sim.rests)
+    assert sim.run(60.0, sim.is_settled)
     sim.run(sim.now + 5.0)
     northern_agents = sim.plan.agents_of("north")
     reconnect = sim.links.cut(
@@ -26,10 +26,10 @@
     reconnect()
     sim.run(sim.now + 20.0)
     sim.start(leader)
-    sim.run(sim.now + 60.0, sim.rests)
-    sim.run(sim.now + 30.0, sim.rests)
+    sim.run(sim.now + 60.0, sim.is_settled)
+    sim.run(sim.now + 30.0, sim.is_settled)
     assert sim.leader() is not None
-    sim.judge.end(sim.yard, sim.leader().duties)  # type: ignore[union-attr]
+    sim.judge.check_end(sim.yard, sim.leader().duties)  # type: ignore[union-attr]
 
 
 PLAN = Plan(
--- a/tests/test_auditor.py
+++ b/tests/test_auditor.py
@@ -397,7 +397,7 @@
 
     def patched(self: Fleet) -> None:
         post_init(self)
-        self.turns_away = False
+        self.refuses_while_draining = False
 
     monkeypatch.setattr(Fleet, "__post_init__", patched)
 
