--- a/otterquay/protocol/http.py
+++ b/otterquay/protocol/http.py
@@ -8,6 +8,7 @@
 
 import httptools
 
+# header fields that are not forwarded: they concern one connection only, or are written anew for the next one
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -55,7 +56,7 @@
 
 
 class _MessageParser:
-    """State of the message being parsed; base of both parsers."""
+    """State of the message being parsed; base of both parsers. Sizes are in bytes."""
 
     def __init__(self, max_head: int, max_body: int) -> None:
         self._max_head, self._max_body = max_head, max_body
--- a/otterquay/protocol/news.py
+++ b/otterquay/protocol/news.py
@@ -48,7 +48,11 @@
 
 
 def decode_fleet(data: str) -> tuple[FleetNews, list[str]]:
-    """The list without malformed entries, and the reason for each of those. ValueError if the list is malformed."""
+    """Decode a list entry by entry, so that a malformed entry hides no other.
+
+    Returns the list without the malformed entries, and the reason for each of those. ValueError if the list itself
+    is malformed.
+    """
     raw_news: _RawFleetNews = msgspec.json.decode(data, type=_RawFleetNews)
     entries, refused = list[Entry](), list[str]()
     for raw in raw_news.entries:
--- a/otterquay/protocol/peer.py
+++ b/otterquay/protocol/peer.py
@@ -4,6 +4,7 @@
 that the receiver drew at random for this sender since its own start, and only once for each sequence number under
 that ticket (a sliding window as in RFC 4303 section 3.4.3). This rejects duplicates and datagrams recorded before a
 restart. A sender without a ticket sends HELLO, queues a few messages and sends them once it has received a TICKET.
+A receiver that does not know the ticket of a DATA datagram, as after its restart, answers RESET.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 HEADER = struct.Struct("<3sBHHQQ")  # magic, kind, from, to, ticket or nonce, number or nonce
 HELLO, TICKET, DATA, RESET = 1, 2, 3, 4
 MAX_DATAGRAM_BYTES = HEADER.size + MAX_MESSAGE_BYTES + TAG_BYTES
-WINDOW = 64
-MAX_PENDING_MESSAGES = 8
+WINDOW = 64  # width of the replay window in sequence numbers; one that is further behind is rejected
+MAX_PENDING_MESSAGES = 8  # per receiver; the oldest is dropped
 
 
 class PeerRefused(Exception):
--- a/otterquay/protocol/resp.py
+++ b/otterquay/protocol/resp.py
@@ -114,6 +114,7 @@
             self._argument_count, self._arguments = count, []
         while len(self._arguments) < self._argument_count:
             if self._bulk_length < 0:
+                # the fifth argument is the body of a request
                 size = self._read_length(b"$", MAX_VALUE_BYTES if len(self._arguments) == 4 else MAX_ARGUMENT_BYTES)
                 if size is None:
                     return False
--- a/otterquay/protocol/sse.py
+++ b/otterquay/protocol/sse.py
@@ -26,6 +26,7 @@
         self._partial_line = b""
         self._data: list[str] = []
         self._event, self.last_id, self._size = "", "", 0
+        # whether the last bytes ended with CR: an LF that comes next belongs to the same line ending
         self._skip_newline = False
 
     def feed(self, data: bytes) -> list[SseEvent]:
