--- a/otterquay/duties/client.py
+++ b/otterquay/duties/client.py
@@ -1,4 +1,4 @@
-"""An agent's client of the group: sends one proposal at a time and retries it by the same number until answered."""
+"""An agent's client of the group: sends one proposal at a time, retried under the same number until answered."""
 
 from __future__ import annotations
 
--- a/otterquay/duties/lease.py
+++ b/otterquay/duties/lease.py
@@ -1,11 +1,12 @@
 """Leases: how long an owner may consider a duty its own, and how long the leader waits before it expires the lease.
 
 The owner counts from before it sent the request, the leader from when the grant or renewal was applied, which is
-later. If clocks run within `drift` of true time, the lease ends at the owner first: requested + L(1 - d) on its
-clock is at most L true seconds after the request, and applied + L(1 + d) on the leader's clock at least L after
-applying. A new leader does not know when earlier grants were applied and counts all of them from its own first
-entry. If a clock drifts more, or an owner is paused between reading the clock and writing, two agents may
-consider themselves owners: every receiver tells them apart by the fencing token and refuses the older one.
+later. Let L be the duration of the lease and d the `drift`, the fraction by which a clock may run fast or slow.
+Then the lease ends at the owner first: requested + L(1 - d) on its clock is at most L true seconds after the
+request, and applied + L(1 + d) on the leader's clock at least L after applying. A new leader does not know when
+earlier grants were applied and counts all of them from its own first entry. If a clock drifts more, or an owner is
+paused between reading the clock and writing, two agents may consider themselves owners: every receiver tells them
+apart by the fencing token and refuses the older one.
 """
 
 from __future__ import annotations
--- a/otterquay/duties/posts/assigner.py
+++ b/otterquay/duties/posts/assigner.py
@@ -48,7 +48,8 @@
 class PostAssigner:
     """Assigns posts to agents. Volatile, one per term; times are seconds of the leader's clock.
 
-    `gap` is the time without a status after which an agent is assigned no more posts.
+    `gap` is the time without a status after which an agent is assigned no more posts. Leases of agents that this
+    leader has not heard are counted from `since`.
     """
 
     terms: LeaseTerms
@@ -56,13 +57,13 @@
     since: float
     progress: Progress
     heard: dict[int, Heard] = field(default_factory=dict)
-    leases: dict[int, float] = field(default_factory=dict)
+    leases: dict[int, float] = field(default_factory=dict)  # when an agent's lease ends
     leaving: dict[str, Leaving] = field(default_factory=dict)
     barred_until: dict[tuple[str, int], float] = field(default_factory=dict)
     behind_at: dict[int, list[float]] = field(default_factory=dict)  # when an agent was found behind
     pending: set[str] = field(default_factory=set)  # posts of the proposed assignment that is not yet committed
     next_at: float = 0.0
-    relieved: int = 0
+    relieved: int = 0  # how often an agent was barred from a post
     indexed: int = -1  # number of the assignment that `by_owner` reflects
     by_owner: dict[int | None, list[str]] = field(default_factory=dict)
 
@@ -147,6 +148,7 @@
             heard = self.heard.get(agent)
             if heard is None or now - heard.at > self.gap:
                 continue  # the agent is down: its lease expires, and it is not counted as behind
+            # at most half of the agents are barred from one post
             barred = sum(post == name and until > now for (post, _), until in self.barred_until.items())
             if self.barred_until.get((name, agent), -1e9) < now and 2 * (barred + 1) <= len(self.heard):
                 self.barred_until[name, agent] = now + BAR_FACTOR * self.progress.owes
@@ -161,7 +163,7 @@
         return moves
 
     def settled(self) -> None:
-        """The proposed assignment has been applied, or was not accepted."""
+        """Allows the next proposal: the last one has been applied, or was not accepted."""
         self.pending.clear()
 
     def _moves(self, now: float, wanted: Sequence[str], state: Posts, weights: Mapping[int, float]) -> list[Placed]:
--- a/otterquay/duties/posts/observer.py
+++ b/otterquay/duties/posts/observer.py
@@ -28,9 +28,8 @@
     ask: Ask
     propose: Propose
     next_at: dict[str, float] = field(default_factory=dict)
-    reported: dict[str, tuple[Token, int, float]] = field(
-        default_factory=dict
-    )  # token, version and time of a report
+    # by post: token, version and time of the last report
+    reported: dict[str, tuple[Token, int, float]] = field(default_factory=dict)
     unsent: dict[str, Report] = field(default_factory=dict)
     busy_until: float = -1e9
     held: Mapping[str, Token] = field(default_factory=dict)
@@ -44,7 +43,7 @@
         self.unsent = {post: report for post, report in self.unsent.items() if held.get(post) == report.token}
         for site, due in self.next_at.items():
             if now >= due:
-                self.next_at[site] = now + max(self.poll_s, ANSWER_TIMEOUT_S)
+                self.next_at[site] = now + max(self.poll_s, ANSWER_TIMEOUT_S)  # an answer sets it anew
                 self.ask(Request("GET", f"/sites/{site}", NONE), self._on_listing(site), out)
         if self.unsent and idle and now >= self.busy_until:
             self._send_reports(now, out)
--- a/otterquay/duties/posts/progress.py
+++ b/otterquay/duties/posts/progress.py
@@ -66,7 +66,7 @@
     def _attributable(
         self, behind: list[tuple[str, int]], holders: Mapping[str, set[int]]
     ) -> list[tuple[str, int]]:
-        """Drops the posts that are behind because of the yard, the network or their whole site."""
+        """Drops posts whose holders are not the cause: too many are behind at once, or a whole site is."""
         late = {owner for _, owner in behind}
         if len(late) > max(MAX_BEHIND_SHARE * len(set().union(*holders.values())), 1) if holders else False:
             return []
--- a/otterquay/duties/state.py
+++ b/otterquay/duties/state.py
@@ -341,7 +341,7 @@
             site.closed = [*site.closed[-MAX_CLOSED_JOURNALS:], token]
 
     def _found(self, by: cm.Proposal, found: cm.Found) -> cm.Result:
-        """Records a settlement: the yard refuses all older tokens by now, so no order off its list can start."""
+        """Records a settlement: the yard refuses all older tokens by now, so orders not on its list can't start."""
         site = site_of(found.duty)
         if site is None:
             return cm.Result(False, "this duty has no site")
--- a/otterquay/group/leadership.py
+++ b/otterquay/group/leadership.py
@@ -13,7 +13,7 @@
 from otterquay.group.types import Peer
 
 SLOW_SAMPLES = 3  # consecutive samples with a slow leader before a transfer
-MIN_SPEEDUP = 4.0  # another member must be this many times faster; if all disks are equally slow, a move is no help
+MIN_SPEEDUP = 4.0  # another member must be this many times faster; if all disks are slow, a transfer is no help
 SAMPLE_TIMEOUT_S = 2.0  # how long to wait for the answers to a sample
 
 
--- a/otterquay/group/member.py
+++ b/otterquay/group/member.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One Raft member. `applied` gets the index, term, data and result of each entry as it is applied, in order."""
+    """One Raft member. `on_applied` gets index, term, data and result of each entry as it is applied, in order."""
 
     me: int
     members: Sequence[int]
@@ -295,6 +295,7 @@
         self.heartbeat_at = now + self.times.heartbeat
         for member, peer in self.peers.items():
             if peer.waiting and now - peer.sent_at < self.times.resend:
+                # what was sent may still be acknowledged: confirm leadership without sending it again
                 out.send(
                     member,
                     ms.Append(
@@ -339,7 +340,7 @@
         peer.heard_at, peer.round = now, max(peer.round, m.round)
         if m.ok:
             if m.match > self.log.last:
-                return  # does not answer any entry of this log
+                return  # acknowledges an entry that this log does not have
             self.joining.record_heard(sender, m.term, m.match)
             if m.match > peer.match or m.match + 1 >= peer.next:
                 peer.waiting = False
--- a/otterquay/group/types.py
+++ b/otterquay/group/types.py
@@ -33,7 +33,7 @@
 
     heartbeat: float = 0.1
     election: float = 1.0
-    resend: float = 0.3
+    resend: float = 0.3  # entries or a snapshot not acknowledged for this long are sent again
     slow: float = 0.25  # a write on the leader's own disk that takes longer is a sign of a slow disk
 
 
