--- a/otterquay/cli/root.py
+++ b/otterquay/cli/root.py
@@ -163,7 +163,8 @@
             try:
                 store = await open_store(BackgroundSyncDisk(Path(service.agent.store)), log, clock)
             except (StoreCorrupted, OSError) as error:
-                # serves traffic without the store; `otterquay store repair` recovers its data
+                # serves traffic without the store: serving matters more than the stored state, which
+                # `otterquay store repair` recovers
                 log.error("store_not_taken", folder=service.agent.store, reason=str(error))
         try:
             runtime = HttpAgent(service, rng, log, key, store, chat_key=chat_key)
@@ -180,8 +181,8 @@
 
     async def serve(runtime: HttpAgent) -> None:
         stop_requested = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, stop_requested.set)
+        for stop_signal in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(stop_signal, stop_requested.set)
         host, port = await runtime.start()
         if announce:
             chat = "" if runtime.gateway is None else " {}:{}".format(*runtime.chat_bound)
--- a/otterquay/config/fleet.py
+++ b/otterquay/config/fleet.py
@@ -25,6 +25,10 @@
 
     `name` distinguishes the messages of this group from those of others. `listen` is the address that this agent
     binds, where it differs from the one that the other agents use.
+
+    `beat`: time between two heartbeats. `lost`: a site that has not heard the group for this long elects a
+    coordinator; `back`: the coordinator stops once the group has been heard again for this long. `settle`: how long
+    an unheard site or an open journal delays the grant of a site's duty.
     """
 
     name: str = Field(min_length=1, max_length=64)
@@ -89,8 +93,9 @@
 class Capacity(Block):
     """The yard, the bound on running servers in all sites, and the servers that an isolated site may order.
 
-    `retire`: a server that has been surplus for this long is retired; 0: never. `owes`: the owner of a duty that
-    has made no progress for this long, as the other agents see it, is relieved; 0: never.
+    `look`: time between two readings of the yard's list. `retire`: a server that has been surplus for this long is
+    retired; 0: never. `owes`: the owner of a duty that has made no progress for this long, as the other agents see
+    it, is relieved; 0: never.
     """
 
     yard: str = Field(pattern=r"^http://[^/]+:\d+(/.*)?$")
--- a/otterquay/config/schema.py
+++ b/otterquay/config/schema.py
@@ -134,7 +134,8 @@
 class Feeds(Block):
     """URLs of the fleet list and the release desk.
 
-    The delay before a reconnect is random between reconnect_least and reconnect_most.
+    The delay before a reconnect is random between reconnect_least and reconnect_most. A stream that brings no byte
+    for `silence` is reconnected.
     """
 
     fleet: str = Field(pattern=r"^http://[^/]+:\d+(/.*)?$")
