--- a/otterquay/config/fleet.py
+++ b/otterquay/config/fleet.py
@@ -82,8 +82,9 @@
 
 
 class CapacitySite(Block):
-    """What one site needs: `want` is the least number of servers by kind; `size` names the kind whose number
-    follows the demand.
+    """What one site needs.
+
+    `want`: the least number of servers by kind. `size`: the kind whose number follows the demand.
     """
 
     want: dict[str, Positive] = {}
--- a/otterquay/duties/lease.py
+++ b/otterquay/duties/lease.py
@@ -49,6 +49,7 @@
     """The leader's record of when each lease last began. Volatile: a new leader starts with an empty registry."""
 
     terms: LeaseTerms
+    # by duty: token, renewals, and from when the lease counts
     since: dict[str, tuple[Token, int, float]] = field(default_factory=dict)
     expiry_proposed_at: dict[str, float] = field(default_factory=dict)
 
--- a/otterquay/duties/posts/placement.py
+++ b/otterquay/duties/posts/placement.py
@@ -12,7 +12,7 @@
 
 import xxhash
 
-Bars = Callable[[str, int], bool]
+Bars = Callable[[str, int], bool]  # whether an agent is barred from a post
 
 
 def score(post: str, agent: int, weight: float) -> float:
--- a/otterquay/duties/posts/records.py
+++ b/otterquay/duties/posts/records.py
@@ -33,9 +33,9 @@
 
 
 class Report(msgspec.Struct, array_like=True, frozen=True):
-    """A holder's observation of its site and kind.
+    """A holder's observation of its site and kind, at a version of the yard's list of the site.
 
-    Servers alive, on order, and delivered by all orders so far, and the yard's version of the site.
+    Counts the servers that are alive, on order, and delivered by all orders so far.
     """
 
     post: PostName
--- a/otterquay/group/joining.py
+++ b/otterquay/group/joining.py
@@ -56,7 +56,7 @@
     welcomed: set[int] = field(default_factory=set)
     refused: str = ""  # the reason, once another member has refused this start
     reached: dict[int, tuple[int, int]] = field(default_factory=dict)  # highest (term, index) heard from a member
-    asked_at: float = -1e9
+    hellos_sent_at: float = -1e9
 
     @classmethod
     def begin(
@@ -87,9 +87,9 @@
 
     def send_hellos(self, now: float, term: int, last: int, out: Effects) -> None:
         """Sends Hello to the members that have not welcomed this start."""
-        if self.refused or now - self.asked_at < HELLO_INTERVAL_S:
+        if self.refused or now - self.hellos_sent_at < HELLO_INTERVAL_S:
             return
-        self.asked_at = now
+        self.hellos_sent_at = now
         for member in self.members:
             if member != self.me and member not in self.welcomed:
                 out.send(member, Hello(self.identity.disk, self.identity.boot, self.nonce, term, last))
--- a/otterquay/group/leadership.py
+++ b/otterquay/group/leadership.py
@@ -25,11 +25,11 @@
     round trip and the member's own write of the same entries. One entry at a time is sampled.
     """
 
-    slow: float
+    slow: float  # a write of the leader that takes longer is slow
     slow_samples: int = 0
     index: int = 0  # of the sampled entry
     durable_at: float = -1e9  # when the sampled entry was durable on this disk
-    took: float = 0.0
+    took: float = 0.0  # how long the leader's own write of the sampled entry took
 
     def entry_durable(self, now: float, index: int, took: float, peers: Mapping[int, Peer]) -> bool:
         """Handles an entry that is durable on the leader's disk; True if leadership should be transferred."""
--- a/otterquay/group/member.py
+++ b/otterquay/group/member.py
@@ -47,7 +47,7 @@
     votes: set[int] = field(default_factory=set)
     peers: dict[int, Peer] = field(default_factory=dict)
     reads: list[PendingRead] = field(default_factory=list)
-    round: int = 0
+    round: int = 0  # sent with heartbeats and entries; an answer confirms the leader for reads up to its round
     heartbeat_at: float = 0.0
     noop_index: int = 0  # of this leader's term
     disk: SlowDiskDetector = field(init=False)
@@ -79,7 +79,7 @@
     def due(self) -> float:
         """When `tick` next has something to do."""
         if not self.joining.ready:
-            return self.joining.asked_at + 0.5
+            return self.joining.hellos_sent_at + 0.5
         return self.heartbeat_at if self.role is Role.LEADER else self.election_at
 
     def tick(self, now: float, out: Effects) -> None:
@@ -395,6 +395,7 @@
         self._become_follower(now, sender, out, m.term)
         self.heard_at = now
         if m.before > self.log.snapshot_index and self.log.term_at(m.before) != m.before_term:
+            # entries of a term above `before_term` can't match: the leader has no such entry up to `before`
             hint = min(m.before - 1, self.log.last)
             conflicting_term = self.log.term_at(hint)
             while (
