--- a/otterquay/sites/site.py
+++ b/otterquay/sites/site.py
@@ -32,7 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """In seconds: `lost` without the group allows an election, `back` with it ends the coordinator's term."""
+    """In seconds: `lost` without the group allows an election, `back` with it ends the coordinator's term.
+
+    `word` and `lead` are the intervals between two Word and two Lead messages.
+    """
 
     word: float = 0.25
     lost: float = 4.0
@@ -44,23 +47,24 @@
 class Role(Enum):
     """An agent's role in its site."""
 
-    NONE = "none"
-    ASKING = "asking"
-    STANDING = "standing"
+    NONE = "none"  # follower
+    ASKING = "asking"  # collects pre-votes
+    STANDING = "standing"  # candidate: collects votes
     COORDINATOR = "coordinator"
 
 
 class StoredState(msgspec.Struct, array_like=True):
-    """State on disk: the newest known token, and the agent voted for under it, if any; there is no other vote."""
+    """State on disk. `voted` is the one agent accepted as coordinator under `newest`; None: not decided yet."""
 
     newest: Token = NONE
     voted: int | None = None
     followed: list[Token] = []
-    allowed: int = 0
-    spent: int = 0
-    caps: dict[int, float] = {}
+    allowed: int = 0  # servers that the group has allowed the site, in total
+    spent: int = 0  # servers reserved out of these, in total
+    caps: dict[int, float] = {}  # by build, lowered by the site itself
     incarnations: dict[int, int] = {}  # newest incarnation heard of each other agent
-    # votes on an earlier disk are unknown: no vote until a later grant is settled; -1: may vote
+    # Group number of a grant, or -1 if this agent may vote. It no longer knows the votes that it gave on an earlier
+    # disk, so it gives none until the site is settled with the group under a later grant.
     barred_until: int = -1
 
 
@@ -88,20 +92,20 @@
     role: Role = Role.NONE
     token: Token = NONE  # of the candidacy or the term
     group_heard_at: float = -1e9  # when the group was last heard
-    back_since: float | None = None
+    back_since: float | None = None  # since when the group is heard again; None: not heard for `lost` seconds
     followed_at: float = -1e9  # when a coordinator was last heard or confirmed
     following: Token = NONE
     next_election_at: float = 0.0
     next_word_at: float = 0.0
     next_lead_at: float = 0.0
-    votes: dict[int, ms.Answer] = field(default_factory=dict)
+    votes: dict[int, ms.Answer] = field(default_factory=dict)  # by agent: granted votes or pre-votes
     acked: dict[int, tuple[int, float]] = field(default_factory=dict)  # by agent: newest acknowledged Lead and when
     # by agent: when it last heard the group, on the local clock
     others: dict[int, float] = field(default_factory=dict)
-    number: int = 0
+    number: int = 0  # of the newest Lead message sent
     reserves: list[ReservedOrder] = field(default_factory=list)
     ready: list[tuple[Token, int, Act]] = field(default_factory=list)  # reserved orders, to be sent to the yard
-    ballots: dict[int, set[int]] = field(default_factory=dict)
+    ballots: dict[int, set[int]] = field(default_factory=dict)  # by build: agents that voted back
     elections: int = 0
     last_word_index: int = 0  # index of the last receiver of a Word message
 
@@ -167,7 +171,10 @@
         closed: Sequence[Token],
         out: Effects,
     ) -> None:
-        """Handle the group's state of this site: newest grant, allowance, and journals already handed over."""
+        """Handle the group's state of this site, received directly or through another agent.
+
+        It gives the newest grant, the allowance, and the journals already handed over.
+        """
         if self.group_lost(now) or self.back_since is None:
             self.back_since = now
         stored = self.stored
@@ -280,7 +287,10 @@
                 self.record_ballot(sender, message, out)
 
     def _is_current_incarnation(self, sender: int, incarnation: int, out: Effects) -> bool:
-        """Whether `life` is the sender's newest known incarnation; an older disk lacks votes given since."""
+        """Whether `incarnation` is the sender's newest known one; if not, its message is ignored and it is told.
+
+        Any other runs on an older copy of the sender's disk, which lacks the votes given since.
+        """
         known = self.stored.incarnations.get(sender, 0)
         if is_later(incarnation, known):
             self.stored.incarnations[sender] = incarnation
