--- a/otterquay/fleet/leader.py
+++ b/otterquay/fleet/leader.py
@@ -42,7 +42,8 @@
     duties: Duties
     leases: LeaseRegistry = field(init=False)
     term: int = -1
-    number: int = 0
+    number: int = 0  # of the leader's newest own proposal in this term
+    # by agent, incarnation and number of the proposal: the agent that relayed it, None if it came directly
     pending: dict[tuple[int, int, int], int | None] = field(default_factory=dict)
     statuses: dict[int, ReceivedStatus] = field(default_factory=dict)
     # by site: since when claims of its duty are refused
@@ -171,7 +172,7 @@
             state.floor,
             list(state.closed),
             self._open_journals(site)[-64:],
-            spent[len(agents) // 2],
+            spent[len(agents) // 2],  # a majority of the site's agents reports at least this
             state.spent,
         )
         posts = None
--- a/otterquay/fleet/node.py
+++ b/otterquay/fleet/node.py
@@ -73,7 +73,7 @@
         )
         self._store_incarnation(self.initial_step)
         self.client = Client(plan.me, self.incarnation, plan.members)
-        self.status_member = rng.randrange(len(plan.members))
+        self.status_member_index = rng.randrange(len(plan.members))
         self.duties = Duties(plan.site_names(), plan.bound)
         self.member: Member | None = None
         self.leader_service: LeaderService | None = None
@@ -326,7 +326,7 @@
                 if message.number:
                     self.client.handle_elsewhere(now, message, out)
                 elif message.leader in self.plan.members:
-                    self.status_member, self.redirected = self.plan.members.index(message.leader), True
+                    self.status_member_index, self.redirected = self.plan.members.index(message.leader), True
             case dm.Beat():
                 if message.incarnation == self.incarnation and sender in self.plan.members:
                     self._heartbeat_received(now, sender, message, out)
@@ -388,13 +388,13 @@
     def _send_status(self, now: float, out: Effects) -> None:
         self.next_status_at = now + self.plan.intervals.status
         if now - self.last_heartbeat_at > 2 * self.plan.intervals.status and not self.redirected:
-            self.status_member = (self.status_member + 1) % len(self.plan.members)
+            self.status_member_index = (self.status_member_index + 1) % len(self.plan.members)
         self.redirected = False
         stored = self.site.stored
         cut = self.site.following.term > 0
         posts = self.holder.status(now) if self.plan.intervals.owes and not self.leaving else (0, 0, [])
         status = dm.Status(self.incarnation, self.plan.site, stored.followed[-128:], stored.spent, cut, *posts)
-        self._send_to_member(now, self.plan.members[self.status_member], status, out)
+        self._send_to_member(now, self.plan.members[self.status_member_index], status, out)
         if self.client.in_flight is not None and now - self.client.first_sent_at > 2 * self.client.retry_s:
             self._send_to_member(
                 now, self.client.members[self.client.target_index], dm.Propose(self.client.in_flight), out
@@ -417,6 +417,7 @@
             self.client.propose(now, cm.Join(self.plan.site), self._join_answered, out)
         for duty, owner in heartbeat.owners.items():
             free = owner is None and duty not in self.owned and now - self.claimed_at.get(duty, -1e9) > 2.0
+            # about two of the agents that may own the duty claim it in each round of heartbeats
             rivals = len(self.site.agents) if site_of(duty) else len(self.plan.sites)
             if free and self.site.following.term == 0 and self.rng.random() < 2 / rivals:
                 self.claimed_at[duty] = now
--- a/otterquay/fleet/plan.py
+++ b/otterquay/fleet/plan.py
@@ -32,10 +32,10 @@
     me: int
     members: tuple[int, ...]
     sites: Mapping[int, str]
-    bound: int
-    allowance: int
+    bound: int  # maximum number of servers of the whole fleet
+    allowance: int  # servers that a site may order while it is cut off from the group
     wanted: Mapping[str, Mapping[str, int]]
-    back_votes: int = 1
+    back_votes: int = 1  # verdicts "back" that take a build back
     machines: Mapping[str, Machine] = field(default_factory=dict)
     # by site: the kind whose number follows demand
     demand_driven_kinds: Mapping[str, str] = field(default_factory=dict)
--- a/otterquay/fleet/shell.py
+++ b/otterquay/fleet/shell.py
@@ -195,7 +195,7 @@
                     asyncio.get_running_loop().call_soon(self._deliver_to_self, send.message)
                 else:
                     self.transport.send(send.to, codec.encode(send.message))
-            for call in out.calls:
+            for call in out.calls:  # one over the limit is dropped: the node takes it for timed out
                 if self._call_count < MAX_CONCURRENT_CALLS:
                     self._call_count += 1
                     self._track_task(asyncio.get_running_loop().create_task(self._call(call.tag, call.request)))
--- a/otterquay/fleet/site_coordinator.py
+++ b/otterquay/fleet/site_coordinator.py
@@ -26,11 +26,13 @@
 class SiteCoordinator:
     """Orders servers for the site while this agent is its acting coordinator; idle otherwise."""
 
-    name: str
+    name: str  # of the site
     site: Site
+    # of the time and the servers alive by kind
     wanted_servers: Callable[[float, Mapping[str, int]], Mapping[str, int]]
     yard_interval: float
     call_yard: Ask
+    # by id: the order, the number of its journal entry, and the act stored there
     pending_orders: dict[str, tuple[PendingOrder, int, cm.Act]] = field(default_factory=dict)
     token: Token = field(default_factory=Token)
     listing: SiteListing | None = None
@@ -136,10 +138,10 @@
 class JournalHandover:
     """Hands over this agent's journals one by one; the group applies a repeated piece only once."""
 
-    name: str
+    name: str  # of the site
     site: Site
     propose: Propose
-    busy: bool = False
+    busy: bool = False  # a piece is proposed and not yet answered
 
     def step(self, now: float, out: Effects) -> None:
         """Hand over the next journal of an ended term, while the group is reachable."""
--- a/otterquay/fleet/site_reconciler.py
+++ b/otterquay/fleet/site_reconciler.py
@@ -37,6 +37,9 @@
     yard_interval: float
     call_yard: Ask
     propose: Propose
+    # "fence": make the yard refuse older tokens
+    # "found": report the orders of the site's coordinators, as listed by the yard, to the group
+    # "run": keep the wanted servers running
     phase: str = "fence"
     books: dm.Books | None = None
     read_number: int = 0  # number of the newest request for books
@@ -45,8 +48,8 @@
     pending_orders: dict[str, PendingOrder] = field(default_factory=dict)
     last_order_number: int = 0
     next_step_at: float = 0.0
-    stale: bool = False
-    asking: bool = False
+    stale: bool = False  # the yard or the group has refused the token
+    asking: bool = False  # a listing, or the report of found orders, is not yet answered
     # by kind, proposed to the group and not yet answered
     proposed_counts: dict[str, int] = field(default_factory=dict)
     # total of ended servers reported to the group, by kind
@@ -103,13 +106,16 @@
         self.call_yard(Request(method, path, self.token), on_listed, out)  # type: ignore[arg-type]
 
     def _found(self, now: float, site_beat: dm.SiteBeat | None, out: Effects) -> None:
-        """Report the acts in the yard's list to the group; it is complete, as older tokens are refused by now."""
+        """Report the orders of the site's coordinators to the group, as listed by the yard.
+
+        The list is complete: the yard has refused older tokens since before it answered.
+        """
         if self.listing is None or site_beat is None:
             return
         acts = [
             cm.Act(o.id, "order", o.kind, o.count, o.started)
             for o in self.listing.orders
-            if Token.parse(o.token).term > 0
+            if Token.parse(o.token).term > 0  # issued by the site, not by the group
         ]
         pieces = [acts[i : i + cm.MAX_ACTS] for i in range(0, len(acts), cm.MAX_ACTS)] or [[]]
 
