--- a/otterquay/runtimes/model.py
+++ b/otterquay/runtimes/model.py
@@ -27,6 +27,7 @@
 MIN_ATTEMPTS = 3.0  # attempts that an agent's cell needs for a median
 FIT_ROUNDS = 12
 Z_90_PERCENT = 1.645  # normal distribution: 90% lie within this many standard deviations
+# in log time: initial standard deviations of the effects; `fit` derives their priors and lower limits from them
 MIN_STD = {"family": 0.15, "kind": 0.08, "both": 0.05, "server": 0.03, "noise": 0.05}
 CHANGE_THRESHOLD = 0.25  # in log time: larger median shifts mean that a kind has changed
 
@@ -123,6 +124,7 @@
         return self.machines.get(kind, Machine()).family
 
     def _prior_std(self, name: str) -> float:
+        """Prior standard deviation of an effect; that of a class is so wide that classes are hardly shrunk."""
         return {"figure": 0.5, "build": 1.0}.get(name) or self.stds.get(name, 25.0)
 
     def _design_row(
@@ -218,6 +220,7 @@
                 variance += (value * self._prior_std(name[0])) ** 2
         mean = float(row @ self._beta)
         variance += float(row @ self._cov @ row)
+        # the interval of an unseen kind is wider, the more so the fewer kinds its variance was estimated from
         z = Z_90_PERCENT * (1.0 if seen else 1.0 + 1.0 / max(len(self.kinds), 1))
         half_width = z * math.sqrt(variance)
         why = "seen" if seen else f"family {family}" if family_seen else "kinds near by figures"
--- a/otterquay/runtimes/sizing.py
+++ b/otterquay/runtimes/sizing.py
@@ -36,8 +36,8 @@
 ) -> Need:
     """Return the servers needed for `demand` requests per second by class, on one kind with that many cores.
 
-    While the run time of a class is unknown, the count rises above neither `running` nor the minimum: those servers
-    measure it first.
+    While the run time of a class is unknown, the count does not exceed the larger of `running` and the minimum:
+    those servers measure it first.
     """
     unknown = [cls for cls, rate in demand.items() if rate > 0 and not (cls in times and times[cls].known)]
     core_time = sum(rate * times[cls].high / 1e3 for cls, rate in demand.items() if cls not in unknown and rate > 0)
--- a/otterquay/store/engine.py
+++ b/otterquay/store/engine.py
@@ -266,6 +266,7 @@
         encoded: list[bytes] = []
         done: list[tuple[str, bytes, int | None, int, bool]] = []  # table, key, place, expiry, whether it is a move
         try:
+            # before the batches: a change of the same key in this group is newer and must be applied later
             for entry, old_place in moves:
                 name, expires_at = entry.table, entry.expires_at
                 encoded.append(fm.write_entry(number, name.encode(), entry.key, entry.value, expires_at))
--- a/otterquay/store/syncer.py
+++ b/otterquay/store/syncer.py
@@ -23,7 +23,7 @@
                 os.fsync(files[name])
             code = 0
         except OSError as error:
-            code = error.errno or 5
+            code = error.errno or 5  # EIO
         print(code, flush=True)
         while len(files) > 8:  # the oldest are closed segments
             os.close(files.pop(next(iter(files))))
