--- a/otterquay/policy/requests.py
+++ b/otterquay/policy/requests.py
@@ -3,7 +3,7 @@
 from otterquay import interface as it
 from otterquay.policy.evidence import Evidence
 from otterquay.policy.routing import Routing
-from otterquay.policy.rules import KEYS_MOST
+from otterquay.policy.rules import MAX_ANSWERED_KEYS
 from otterquay.policy.state import UNRUN, Attempt, PendingRequest
 
 # Requests sent per answer that brought worth, above which requests are shed: for the least and the highest worth.
@@ -81,7 +81,7 @@
             if build >= newest and build > self.any_key_build:
                 self.key_builds[key] = max(self.key_builds.get(key, 0), build)
             # Over the limit, once the newest build is released, it becomes the lowest build for every key.
-            if len(self.key_builds) > KEYS_MOST and self._cap(newest) is None:
+            if len(self.key_builds) > MAX_ANSWERED_KEYS and self._cap(newest) is None:
                 self.key_builds, self.any_key_build = (
                     {k: b for k, b in self.key_builds.items() if b > newest},
                     newest,
--- a/otterquay/policy/rules.py
+++ b/otterquay/policy/rules.py
@@ -15,7 +15,7 @@
 # Attempts per overload window that any cold server can take, from all agents together.
 MIN_COLD_ATTEMPTS_PER_WINDOW = 3.0
 # Keys whose builds are kept.
-KEYS_MOST = 2**18
+MAX_ANSWERED_KEYS = 2**18
 
 
 class Rules(AgentState):
@@ -77,7 +77,7 @@
         # One-way rollouts: a key never goes back to an earlier build, and a key that could no longer be kept goes
         # to no build on trial.
         key = pending.request.key
-        keys_full = key and len(self.key_builds) >= KEYS_MOST and key not in self.key_builds
+        keys_full = key and len(self.key_builds) >= MAX_ANSWERED_KEYS and key not in self.key_builds
         goes_back = key and max(self.key_builds.get(key, 0), self.any_key_build) > entry.build
         # Rules 1, 5 and 3.
         if is_over or goes_back or not server.ready or (keys_full and self._cap(entry.build) is not None):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -107,7 +107,7 @@
 
 def keys_at_most(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     for module in ("rules", "requests"):
-        monkeypatch.setattr(f"otterquay.policy.{module}.KEYS_MOST", number)
+        monkeypatch.setattr(f"otterquay.policy.{module}.MAX_ANSWERED_KEYS", number)
 
 
 def test_after_days_of_builds_servers_and_keys_no_size_grows_and_decisions_are_as_at_first(
