--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -389,8 +389,8 @@
             pass  # uvloop raises RuntimeError for a connection that was closed
         finally:
             upstream.writer.close()
-            if self._relays.pop(conn_id, None):  # upstream has closed; the client reconnects and is told more
-                code = upstream.protocol.close_code
+            if self._relays.pop(conn_id, None):  # upstream has closed: pass its close code on to the client
+                code = upstream.protocol.close_code  # 1006 must not be sent (RFC 6455 section 7.4.1)
                 websocket.close(
                     code if code and code != 1006 else 1012,
                     "the agent that holds the session closed the connection",
--- a/otterquay/lab/chat.py
+++ b/otterquay/lab/chat.py
@@ -21,7 +21,7 @@
 
     client_count: int = 200
     pause_s: float = 1.0
-    fault_share: float = 0.3
+    fault_share: float = 0.3  # share of commands after which a fault of `standins.chat.FAULTS` is drawn
     drain_timeout_s: float = 5.0  # wait for open commands at the end, beyond the longest deadline
     chat_clients: list[ChatClient] = field(default_factory=list)
 
--- a/otterquay/lab/day.py
+++ b/otterquay/lab/day.py
@@ -98,7 +98,10 @@
 
 
 class FaultPlan(Block):
-    """A fault with its start and length; which other fields apply depends on `kind`."""
+    """A fault with its start and length; which other fields apply depends on `kind`.
+
+    `factor` is a multiple, but for `link_slow` a delay in milliseconds, and for `list_late` one in seconds.
+    """
 
     kind: FaultKind
     at: Duration
--- a/otterquay/lab/mass/servers.py
+++ b/otterquay/lab/mass/servers.py
@@ -28,9 +28,8 @@
     busy_cores: int = 0
     queue: deque[FinishAttempt] = field(default_factory=deque)
     in_progress: dict[FinishAttempt, None] = field(default_factory=dict)  # queued or running, by order of arrival
-    arrivals: deque[tuple[float, bool]] = field(
-        default_factory=deque
-    )  # time, and whether the sender knew of the start
+    # recent attempts: time, and whether the sender knew of the server's start
+    arrivals: deque[tuple[float, bool]] = field(default_factory=deque)
 
     def capacity_share(self, at: float, rules: it.RuleFigures) -> float:
         """Its share of the full capacity at a time; grows linearly while it is cold."""
--- a/otterquay/lab/play.py
+++ b/otterquay/lab/play.py
@@ -107,7 +107,7 @@
 
 
 def process_agents(settings: Path, folder: Path) -> Callable[[AgentPlacement], AgentHost]:
-    """A factory of agents in separate processes; their logs, caches and peer key are in `folder`."""
+    """A factory of agents in separate processes; their logs, stores and key are in `folder`."""
     key_file = folder / "peer.key"
     key_file.write_text(secrets.token_hex(32))
     key_file.chmod(0o600)
--- a/otterquay/lab/search.py
+++ b/otterquay/lab/search.py
@@ -18,6 +18,7 @@
 
 FAULT_KINDS: tuple[str, ...] = get_args(FaultKind)
 ZONE_COUNTS = {"zone_cut": 2, "one_way": 2, "link_reset": 2, "link_slow": 2, "zone_loss": 1}
+# Range of `FaultPlan.factor` by kind of fault, in the unit that is described there.
 FACTOR_RANGES = {
     "burst": (1.2, 4.0),
     "slow_servers": (2.0, 20.0),
--- a/otterquay/lab/simloop.py
+++ b/otterquay/lab/simloop.py
@@ -298,7 +298,8 @@
     def _arrive(self, data: bytes | None) -> None:
         remote = self.remote
         if self.loop.network.is_cut(remote.machine.zone, self.machine.zone):
-            remote.last_arrival_at = max(remote.last_arrival_at, self.loop.now + 0.2)  # retransmission
+            # retransmit every 0.2 s until the link is no longer cut
+            remote.last_arrival_at = max(remote.last_arrival_at, self.loop.now + 0.2)
             return remote._schedule(data)
         if self.closing:
             if data:
--- a/otterquay/lab/world.py
+++ b/otterquay/lab/world.py
@@ -278,7 +278,7 @@
 
         def repair() -> None:
             undo()
-            # a slow link passes on its backlog piece by piece, each with the full delay
+            # a slow link passes on its backlog piece by piece, each with the full delay: allow for ten pieces
             late = 0.0 if lost else 10 * fault.factor / 1e3
             self.tape.add(Severed(self._now() + late, affected, since, lost, late))
 
