--- a/tests/fleet/test_drawn_days.py
+++ b/tests/fleet/test_drawn_days.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from otterquay.lab.fleetsim import spread_mutants
+from otterquay.lab.fleetsim import post_mutants
 from otterquay.lab.fleetsim.draw import FAULTS, HANDOVER_FAULTS, OWES_S, POST_FAULTS, play
 from otterquay.lab.fleetsim.mutants import MUTANTS
 
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("name", POSTS_MAX_SEEDS)
 def test_a_guard_of_the_posts_taken_out_is_found(name: str) -> None:
-    patch, shows = spread_mutants.MUTANTS[name]
+    patch, shows = post_mutants.MUTANTS[name]
     with patch():
         days = (play(seed, only=POST_FAULTS, owes=OWES_S) for seed in range(POSTS_MAX_SEEDS[name]))
         assert any(any(day.counts[what] for what in shows) for day in days)
