--- a/otterquay/lab/disk.py
+++ b/otterquay/lab/disk.py
@@ -19,9 +19,8 @@
 class _File:
     cache: bytearray = field(default_factory=bytearray)  # what reads return
     disk: bytearray = field(default_factory=bytearray)
-    dirty: list[tuple[int, bytes | None]] = field(
-        default_factory=list
-    )  # (offset, bytes), or (size, None) to truncate
+    # unsynced changes: (offset, bytes), or (size, None) to truncate
+    dirty: list[tuple[int, bytes | None]] = field(default_factory=list)
 
     def copy(self) -> _File:
         return _File(bytearray(self.cache), bytearray(self.disk), list(self.dirty))
--- a/otterquay/lab/fleetsim/__init__.py
+++ b/otterquay/lab/fleetsim/__init__.py
@@ -1,3 +1,4 @@
-"""The fleet's own work on simulated time: the same nodes by the hundred, faults drawn, a judge that reads the
-wires.
+"""Simulates the fleet's coordination: up to hundreds of nodes on a simulated clock, drawn faults, and a judge.
+
+The nodes run the same code as an agent's process. The judge reads the messages between them.
 """
--- a/otterquay/lab/fleetsim/draw.py
+++ b/otterquay/lab/fleetsim/draw.py
@@ -45,7 +45,9 @@
     "yard_cut",
     "servers_end",
 )
+# Each entry of a list is drawn with equal probability: a name that is listed twice is drawn twice as often.
 POST_FAULTS = (*FAULTS, "gray_owner", "gray_agent", "roll", "kill_most", "kill_leader", "stall_owner")
+# adds a handover by the leader, a leader with a slow disk, and more rolling restarts
 HANDOVER_FAULTS = (*POST_FAULTS, "leader_ends", "leaders_slow_disk", "leader_ends", "roll")
 OWES_S = 6.0  # time within which the owner of a post must have reported progress
 SETTLE_TIMEOUT_S = 240.0  # a fleet that has not settled this long after the last fault counts as stuck
--- a/otterquay/lab/fleetsim/post_mutants.py
+++ b/otterquay/lab/fleetsim/post_mutants.py
@@ -73,7 +73,7 @@
 
 @contextlib.contextmanager
 def _stale_books() -> Iterator[None]:
-    """Records of up to five seconds ago, as from a replica that lags."""
+    """A leader answers with records that are up to five seconds old, as a lagging replica would."""
     cache: dict[tuple[int, str], tuple[float, Any]] = {}
 
     def books(self: LeaderService, site: str, number: int) -> Any:
--- a/otterquay/lab/fleetsim/post_scaling.py
+++ b/otterquay/lab/fleetsim/post_scaling.py
@@ -14,7 +14,7 @@
 from otterquay.fleet.plan import Intervals, Plan
 from otterquay.lab.fleetsim.world import Sim
 
-OWES_S = 8.0
+OWES_S = 8.0  # time within which the owner of a post must have reported progress
 SAMPLE_INTERVAL_S = 0.25
 
 
@@ -31,9 +31,9 @@
     moves: list[int] = field(default_factory=list)
     unheld_s: list[float] = field(default_factory=list)  # from a kill until all of the agent's posts are held again
     back_s: list[float] = field(default_factory=list)  # from an agent's return until it holds its share
-    rolled_s: float = 0.0
+    rolled_s: float = 0.0  # duration of the rolling restart
     rolled_unheld: float = 0.0  # mean share of posts without a holder during the rolling restart
-    most_killed_s: float = 0.0
+    most_killed_s: float = 0.0  # from the kill of seven in ten agents until all posts are held again
 
 
 class Fleet:
--- a/otterquay/lab/fleetsim/world.py
+++ b/otterquay/lab/fleetsim/world.py
@@ -74,9 +74,8 @@
     failing: bool = False
     slow_s: float = 0.0  # additional duration of each write
     backlog: list[Callable[[], None]] = field(default_factory=list)
-    steps: list[tuple[Effects, float]] = field(
-        default_factory=list
-    )  # steps not yet performed, with the time of each
+    # steps not yet performed, with the time of each
+    steps: list[tuple[Effects, float]] = field(default_factory=list)
     writing: bool = False
     copies: list[Disk] = field(default_factory=list)
 
--- a/otterquay/standins/appliance.py
+++ b/otterquay/standins/appliance.py
@@ -23,7 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Flaw:
-    """The flaw of a build: `share` of its requests fail or are answered wrong; `factor` multiplies the work."""
+    """The flaw of a build: `share` of its requests fail or are answered wrong; `factor` multiplies the work.
+
+    "load" applies while at least the share `busy` of the cores is in use, "late" from `after_s` after the start.
+    """
 
     kind: Literal["errors", "class", "slow", "load", "late", "wrong", "shared"]
     share: float = 0.0
@@ -35,7 +38,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineSpec:
-    """The capacity of a machine. A cold one starts with the share `start_capacity`, and is warm after `cold_s`."""
+    """The capacity of a machine. A cold one starts with the share `start_capacity`, and is warm after `cold_s`.
+
+    Until `fall_s` after that, it crashes when the work that arrived in the last `fall_s` exceeds `fall_multiple`
+    times its capacity.
+    """
 
     cores: int = 2
     speed: float = 1.0
--- a/otterquay/standins/tape.py
+++ b/otterquay/standins/tape.py
@@ -219,7 +219,7 @@
 
 
 class Tape:
-    """The crossings of one run, in the order of their recording."""
+    """The crossings (events at sockets) of one run, in the order of their recording."""
 
     def __init__(self) -> None:
         self.crossings: list[Kinds] = []
