--- a/tests/fleet/test_reads.py
+++ b/tests/fleet/test_reads.py
@@ -30,12 +30,12 @@
 
 
 def test_a_read_has_what_was_answered_before_it_was_asked() -> None:
-    assert not example_reads().answered(3.0, 7, books(1, {})), "the order was committed after the read was sent"
-    assert not example_reads().answered(3.0, 7, books(2, {"o1": OPEN}))
-    assert "not in north's books" in example_reads().answered(3.0, 7, books(2, {}))[0]
-    assert "handed 5" in example_reads().answered(3.0, 7, books(3, {"o1": OPEN}, 4))[0]
-    assert not example_reads().answered(3.0, 7, books(3, {"o1": OPEN}, 5))
-    assert not example_reads().answered(3.0, 8, books(2, {})), "agent 8 sent no read"
+    assert not example_reads().check_answer(3.0, 7, books(1, {})), "the order was committed after the read was sent"
+    assert not example_reads().check_answer(3.0, 7, books(2, {"o1": OPEN}))
+    assert "not in north's books" in example_reads().check_answer(3.0, 7, books(2, {}))[0]
+    assert "handed 5" in example_reads().check_answer(3.0, 7, books(3, {"o1": OPEN}, 4))[0]
+    assert not example_reads().check_answer(3.0, 7, books(3, {"o1": OPEN}, 5))
+    assert not example_reads().check_answer(3.0, 8, books(2, {})), "agent 8 sent no read"
 
 
 def test_an_order_may_be_gone_once_its_closing_was_asked_for_and_must_be_once_that_was_answered() -> None:
