--- a/otterquay/chat/gateway.py
+++ b/otterquay/chat/gateway.py
@@ -97,7 +97,7 @@
     def handle_frame(self, frame: Frame) -> None:
         """Collect a data frame; control frames are handled by the protocol."""
         if frame.opcode is Opcode.BINARY:
-            self.close(1003, "only text messages are supported")
+            self.close(1003, "text messages only")
         elif frame.opcode in (Opcode.TEXT, Opcode.CONT):
             self._fragments.append(bytes(frame.data))
             if frame.fin:
@@ -106,7 +106,7 @@
                 try:
                     text.decode()
                 except UnicodeDecodeError:  # RFC 6455 section 8.1; left to the caller by the library
-                    self.protocol.fail(1007, "invalid UTF-8")
+                    self.protocol.fail(1007, "not UTF-8")
                     self.flush()
                 else:
                     self._complete_messages.append(text)
@@ -201,7 +201,7 @@
         if self._timer:
             self._timer.cancel()
         for websocket in [*self._websockets.values(), *self._relays.values()]:
-            websocket.close(1012, "the agent is shutting down")
+            websocket.close(1012, "the agent ends")
             websocket.writer.close()
         for task in list(self._tasks):
             task.cancel()
@@ -258,7 +258,7 @@
         tenant = self._tenants.get(submit.tenant, 0)
         ask = ClientRequest(http, cls, tenant, key, self._deadlines[cls], None, False)
         if not self._submit_request(ask, CommandRequester(submit.ref, self.feed)):
-            self.feed(chat_hub.Finished(submit.ref, "refused", "the agent accepts no more requests", 1000.0))
+            self.feed(chat_hub.Finished(submit.ref, "refused", "nothing more is taken", 1000.0))
 
     # --- sockets ---
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -290,7 +290,7 @@
             if self._websockets.pop(conn_id, None):
                 self.feed(chat_hub.Closed(conn_id))
             if relay := self._relays.pop(conn_id, None):
-                relay.close(1001, "the client has disconnected")
+                relay.close(1001, "the client has gone")
                 relay.writer.close()
             writer.close()
 
@@ -304,9 +304,9 @@
                 if isinstance(event, Request):
                     response = protocol.accept(event)
                     if response.status_code == 101 and protocol.subprotocol != messages.SUBPROTOCOL:
-                        response = protocol.reject(400, f"subprotocol {messages.SUBPROTOCOL} is required\n")
+                        response = protocol.reject(400, f"speak subprotocol {messages.SUBPROTOCOL}\n")
                     elif response.status_code == 101 and self._stopping:
-                        response = protocol.reject(503, "the agent is shutting down\n")
+                        response = protocol.reject(503, "the agent ends\n")
                     if response.status_code != 101:
                         self._log.info("chat_handshake_refused", status=response.status_code)
                     protocol.send_response(response)
@@ -393,7 +393,7 @@
                 code = upstream.protocol.close_code  # 1006 must not be sent (RFC 6455 section 7.4.1)
                 websocket.close(
                     code if code and code != 1006 else 1012,
-                    "the agent that holds the session closed the connection",
+                    "the holding agent ended the connection",
                 )
 
 
--- a/otterquay/chat/grammar.py
+++ b/otterquay/chat/grammar.py
@@ -64,7 +64,7 @@
 def parse(text: str) -> ParsedCommand:
     """Parse one command; raises CommandSyntaxError with the column of the first error."""
     if len(text) > MAX_TEXT_CHARS:
-        raise CommandSyntaxError(f"longer than {MAX_TEXT_CHARS} characters", MAX_TEXT_CHARS + 1)
+        raise CommandSyntaxError(f"over {MAX_TEXT_CHARS} characters", MAX_TEXT_CHARS + 1)
     try:
         parsed = _PARSER.parse(text)
     except UnexpectedInput as error:
--- a/otterquay/chat/hub.py
+++ b/otterquay/chat/hub.py
@@ -393,7 +393,7 @@
     def _tick(self) -> None:
         for conn_id, connection in list(self._connections.items()):
             if connection.session is None and self._now - connection.opened_at >= self._settings.hello_within:
-                self._disconnect(conn_id, messages.NO_HELLO, "no hello or resume within the time limit")
+                self._disconnect(conn_id, messages.NO_HELLO, "no hello in time")
         # Drops full buckets, which equal new ones: where no tenants are configured, clients may send any name,
         # and the buckets would grow without bound.
         self._tenant_buckets = {
@@ -423,7 +423,7 @@
                     return self._hello(conn_id, connection, message)
                 case messages.ResumeHello():
                     return self._resume(conn_id, connection, message)
-            return self._send(conn_id, messages.Problem("no_session", "send hello or resume first"))
+            return self._send(conn_id, messages.Problem("no_session", "say hello first"))
         # Any message shows that the client has received this connection's welcome.
         if session.secrets != [connection.secret]:
             session.secrets = [connection.secret]
@@ -439,14 +439,14 @@
                 self._remove_session(session)
                 self._disconnect(conn_id, 1000, "bye")
             case _:
-                self._send(conn_id, messages.Problem("in_session", "this connection already has a session"))
+                self._send(conn_id, messages.Problem("in_session", "this connection has its session"))
 
     def _hello(self, conn_id: int, connection: _Connection, hello: messages.Hello) -> None:
         proved = bool(hello.proof) and verify_proof(
             self._key, hello.proof, connection.nonce, hello.role, hello.tenant, hello.name
         )
         if not proved and (hello.role != "player" or not self._settings.anonymous or hello.proof):
-            self._send(conn_id, messages.Problem("bad_proof", "the proof is not valid for this connection"))
+            self._send(conn_id, messages.Problem("bad_proof", "the proof does not fit this connection"))
             return self._disconnect(conn_id, messages.BAD_HELLO, "bad proof")
         if hello.role == "player" and self._tenants and hello.tenant not in self._tenants:
             self._send(conn_id, messages.Problem("bad_tenant", "no such tenant"))
@@ -457,8 +457,8 @@
         self, conn_id: int, connection: _Connection, tenant: str, name: str, role: Role
     ) -> Session | None:
         if len(self._sessions) >= self._settings.max_sessions:
-            self._send(conn_id, messages.Problem("full", "the session limit of this agent is reached"))
-            self._disconnect(conn_id, messages.LIMIT_REACHED, "the session limit of this agent is reached")
+            self._send(conn_id, messages.Problem("full", "no more sessions here"))
+            self._disconnect(conn_id, messages.LIMIT_REACHED, "no more sessions here")
             return None
         bucket = TokenBucket(
             self._settings.session_rate, self._settings.session_burst, self._settings.session_burst, self._now
@@ -494,7 +494,7 @@
     def _resume(self, conn_id: int, connection: _Connection, message: messages.ResumeHello) -> None:
         token = decode_token(self._key, message.token)
         if token is None or connection.resuming:
-            self._send(conn_id, messages.Problem("bad_token", "not a valid resume token"))
+            self._send(conn_id, messages.Problem("bad_token", "this is no token of ours"))
             return self._disconnect(conn_id, messages.BAD_TOKEN, "bad token")
         if token.home != self._agent_number:
             connection.resuming, connection.token = message, token
@@ -505,7 +505,7 @@
         if token.secret not in session.secrets:
             if session.restored:  # issued after the last durable record
                 return self._replace_lost_session(conn_id, connection, token, message)
-            self._send(conn_id, messages.Problem("stale_token", "a later token has been issued"))
+            self._send(conn_id, messages.Problem("stale_token", "a later token was given"))
             return self._disconnect(conn_id, messages.BAD_TOKEN, "stale token")
         if session.conn_id is not None:  # the newest socket takes over the session
             previous_conn_id, session.conn_id = session.conn_id, None
@@ -527,7 +527,7 @@
         for id in message.open:  # never received: the socket closed before they arrived
             if id not in session.entries and id not in session.retired:
                 self._send(
-                    conn_id, messages.Problem("not_here", "this command was not received; it may be sent again", id)
+                    conn_id, messages.Problem("not_here", "this command never came; it may be sent again", id)
                 )
 
     def _replace_lost_session(
@@ -540,7 +540,7 @@
         session = self._create_session(conn_id, connection, token.tenant, token.name, token.role)
         for id in message.open if session else ():
             assert session is not None
-            answer = messages.Answer(id, "unknown", "the session that held this command is lost")
+            answer = messages.Answer(id, "unknown", "the agent that held this command is gone")
             session.entries[id] = Entry(id, "", answer)
             self._save(session, session.entries[id])
             self.counts["unknown"] += 1
@@ -552,17 +552,13 @@
         if entry := session.entries.get(id):  # a repeated id is the same command
             if entry.text and entry.text != message.text:
                 return self._send(
-                    conn_id, messages.Problem("other_command", "this id was used for another command", id)
+                    conn_id, messages.Problem("other_command", "this id stands for another command", id)
                 )
             return self._send(conn_id, entry.answer or messages.Accepted(id))
         if id in session.retired:
-            return self._send(
-                conn_id, messages.Problem("already_answered", "its answer was already acknowledged", id)
-            )
+            return self._send(conn_id, messages.Problem("already_answered", "its answer was acknowledged", id))
         if not session.bucket.try_take(self._now):
-            return self._send(
-                conn_id, messages.Problem("rate_session", "too many commands per second in this session", id)
-            )
+            return self._send(conn_id, messages.Problem("rate_session", "too many commands a second", id))
         try:
             parsed = parse(message.text)
         except CommandSyntaxError as error:
@@ -572,7 +568,7 @@
         command = self._settings.command.get(parsed.name)
         if command is None:
             known = ", ".join(f"/{name}" for name in self._settings.command)
-            return self._send(conn_id, messages.Problem("unknown_command", f"known commands: {known}", id))
+            return self._send(conn_id, messages.Problem("unknown_command", f"there are {known}", id))
         unknown_options = [name for name, _ in parsed.options if name not in command.options]
         if unknown_options or not command.least_words <= len(parsed.arguments) <= command.most_words:
             allowed = f"{command.least_words} to {command.most_words} words, options {command.options}"
@@ -590,9 +586,7 @@
             ),
         )
         if not bucket.try_take(self._now):
-            return self._send(
-                conn_id, messages.Problem("rate_tenant", "too many commands per second of this tenant", id)
-            )
+            return self._send(conn_id, messages.Problem("rate_tenant", "too many commands of this tenant", id))
         self._last_ref += 1
         entry = session.entries[id] = Entry(id, message.text)
         self._submitted[self._last_ref] = session, entry
@@ -631,7 +625,7 @@
         if name == "follow":
             session.following = True
             return self._send(conn_id, messages.Report("following", id))
-        self._send(conn_id, messages.Problem("unknown_command", f"commands for operators: {OPERATOR_COMMANDS}", id))
+        self._send(conn_id, messages.Problem("unknown_command", f"operators have {OPERATOR_COMMANDS}", id))
 
     def _finished(self, event: Finished) -> None:
         found = self._submitted.pop(event.ref, None)
